--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,7 +1,7 @@
 //! Keys, interned names, time and hashing.
 //!
-//! This crate exists so that the decision crates can share small `Copy` types without depending on
-//! anything that does I/O. Nothing here reads a clock or a random source.
+//! Lets the decision crates share small `Copy` types without depending on anything that does I/O.
+//! Nothing in this crate reads a clock or a random source.
 
 mod hash;
 mod maps;
@@ -17,7 +17,7 @@
     time::Millis,
 };
 
-/// Declares an index newtype that names one entity of an arena.
+/// Declares an index newtype that identifies one entity of an arena.
 #[macro_export]
 macro_rules! entity_key {
     ($(#[$meta:meta])* $name:ident) => {
@@ -38,18 +38,18 @@
 }
 
 entity_key! {
-    /// Names one model or adapter.
+    /// Identifies one model or adapter.
     ModelKey
 }
 entity_key! {
-    /// Names one endpoint.
+    /// Identifies one endpoint.
     EndpointKey
 }
 entity_key! {
-    /// Names one organisation.
+    /// Identifies one organisation.
     OrgKey
 }
 entity_key! {
-    /// Names one service of an organisation.
+    /// Identifies one service of an organisation.
     ServiceKey
 }
--- a/crates/base/src/maps.rs
+++ b/crates/base/src/maps.rs
@@ -7,13 +7,13 @@
 
 /// A hasher without a random seed.
 ///
-/// With a random one, two runs of a reducer over the same events would visit their maps in another
-/// order and decide differently, and no failure that a fuzzer finds could be seen again. The keys
-/// are this system's own names and numbers, which no stranger chooses.
+/// With a random seed, two runs of a reducer over the same events would iterate their maps in
+/// different orders and decide differently, so a failure found by a fuzzer could not be reproduced.
+/// The keys are internal names and numbers, which an attacker cannot choose.
 pub type FixedState = BuildHasherDefault<DefaultHasher>;
 
-/// A hash map with a fixed order of iteration for the same history.
+/// A hash map whose iteration order depends only on the operations applied to it.
 pub type Map<K, V> = HashMap<K, V, FixedState>;
 
-/// A hash set with a fixed order of iteration for the same history.
+/// A hash set whose iteration order depends only on the operations applied to it.
 pub type Set<K> = HashSet<K, FixedState>;
--- a/crates/base/src/names.rs
+++ b/crates/base/src/names.rs
@@ -1,4 +1,4 @@
-//! Interned names: strings at the borders, small keys inside.
+//! Interned names: strings at the interfaces, small keys internally.
 
 use std::marker::PhantomData;
 
@@ -8,16 +8,16 @@
 
 /// A small `Copy` index into an arena.
 pub trait Key: Copy + Eq {
-    /// Makes the key of the entity at `index`.
+    /// Returns the key of the entity at `index`.
     fn from_index(index: usize) -> Self;
-    /// The position of the entity in its arena.
+    /// Returns the position of the entity in its arena.
     fn index(self) -> usize;
 }
 
-/// A table that gives each name one key for the life of the process.
+/// An interner that assigns each name one key for the lifetime of the process.
 ///
-/// Keys are never reused, so that a key taken before a change of configuration still names the
-/// same entity after it.
+/// Keys are never reused, so a key obtained before a configuration change still identifies the same
+/// entity after it.
 #[derive(Debug, Clone)]
 pub struct Names<K> {
     set: IndexSet<String, FixedState>,
@@ -31,7 +31,7 @@
 }
 
 impl<K: Key> Names<K> {
-    /// The key of `name`, made if the name is new.
+    /// Returns the key of `name`, assigning one if the name is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(index) = self.set.get_index_of(name) {
             return K::from_index(index);
@@ -40,22 +40,22 @@
         K::from_index(index)
     }
 
-    /// The key of `name`, if the name is known.
+    /// Returns the key of `name`, if the name is known.
     pub fn get(&self, name: &str) -> Option<K> {
         self.set.get_index_of(name).map(K::from_index)
     }
 
-    /// The name behind `key`; the empty string for a key of another table.
+    /// Returns the name of `key`, or the empty string if no name here has that key.
     pub fn name(&self, key: K) -> &str {
         self.set.get_index(key.index()).map_or("", String::as_str)
     }
 
-    /// How many names are known.
+    /// Returns the number of known names.
     pub fn len(&self) -> usize {
         self.set.len()
     }
 
-    /// Whether no name is known.
+    /// Returns whether no name is known.
     pub fn is_empty(&self) -> bool {
         self.set.is_empty()
     }
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -1,17 +1,17 @@
-//! Monotonic time, as the reducers see it.
+//! Monotonic time, as passed to the reducers.
 
 use std::ops::{Add, Sub};
 
 use serde::Serialize;
 
-/// Milliseconds on one process's monotonic clock.
+/// Milliseconds on the monotonic clock of one process.
 ///
-/// Values of two processes are never compared: nothing assumes that clocks run in step.
+/// Values of different processes must not be compared: their clocks are not synchronised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize)]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The time from `earlier` to `self`, in milliseconds; 0 if `earlier` is later.
+    /// Returns the milliseconds from `earlier` to `self`; 0 if `earlier` is later.
     pub fn since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/config/src/catalogue.rs
+++ b/crates/config/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The operators' text, compiled.
+//! The compiled form of the operators' configuration.
 
 use citronrill_base::{EndpointKey, Map, ModelKey, OrgKey, ServiceKey};
 
@@ -10,26 +10,26 @@
     registry::Registry,
 };
 
-/// Replicas a model may have when its section does not say.
+/// Maximum number of replicas if the model's section does not set it.
 const DEFAULT_REPLICAS: u64 = 1;
-/// Milliseconds a request may take when neither the caller nor the service says.
+/// Deadline of a request in milliseconds if neither the caller nor the service sets one.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// Waiting requests per model and organisation when the service does not say.
-const DEFAULT_QUEUE: u64 = 1_000;
-/// How much faster the disk cache is than the weight store, when the text does not say.
+/// Limit of waiting requests per model and organisation if the service does not set it.
+const DEFAULT_QUEUE_LIMIT: u64 = 1_000;
+/// Assumed speed of the disk cache relative to the weight store if no load time is configured.
 const DISK_SPEEDUP: u64 = 3;
-/// How much faster the memory cache is than the weight store, when the text does not say.
+/// Assumed speed of the RAM cache relative to the weight store if no load time is configured.
 const RAM_SPEEDUP: u64 = 12;
 const SECTION_KINDS: &str = "pool, organisation, service, model, adapter, endpoint";
 
-/// How urgent the requests of a service are; the smaller is served first.
+/// The priority class of a service's requests; smaller classes are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// A person waits at a counter or in a chat.
+    /// Interactive requests: a person is waiting.
     Urgent,
-    /// The ordinary kind.
+    /// The default.
     Normal,
-    /// May wait, but must not vanish.
+    /// Background requests, which may wait but must not be lost.
     Batch,
 }
 
@@ -45,12 +45,12 @@
     }
 }
 
-/// What serves a service's calls.
+/// The kind of endpoint that serves a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceKind {
     /// Model engines.
     Model,
-    /// Plain endpoints, with method, headers and body passed through.
+    /// Plain endpoints, to which method, headers and body are passed through.
     Plain,
 }
 
@@ -65,117 +65,117 @@
     }
 }
 
-/// A call that may not be repeated: method and path prefix.
+/// Calls that must not be repeated, by method and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Method {
-    /// The HTTP method in capitals.
+    /// The HTTP method, in upper case.
     pub verb: String,
-    /// The start of the path, from `/`.
+    /// The prefix of the path, beginning with `/`.
     pub path: String,
 }
 
-/// What all organisations share.
+/// Limits that all organisations share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pool {
-    /// Loads the weight store starts a second.
+    /// Loads that the weight store can start per second.
     pub loads_second: u64,
-    /// Loads the weight store carries at once at full speed.
+    /// Concurrent loads that the weight store can serve at full speed.
     pub loads_once: u64,
 }
 
-/// One organisation.
+/// An organisation.
 #[derive(Debug, Clone)]
 pub struct Organisation {
-    /// Its name.
+    /// The organisation's name.
     pub name: String,
-    /// Accelerator memory it may hold, in MB.
+    /// Accelerator memory that its models may use, in MB.
     pub share_mb: u64,
-    /// How much an hour of cold start delay weighs.
+    /// Cost weight of an hour of cold-start delay.
     pub cold_weight: u64,
-    /// How much an idle accelerator hour weighs.
+    /// Cost weight of an idle accelerator hour.
     pub idle_weight: u64,
     /// Hashes of its API keys.
     pub keys: Vec<ApiKeyHash>,
 }
 
-/// One service.
+/// A service.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: String,
-    /// Whose it is.
+    /// The organisation that owns the service.
     pub org: OrgKey,
-    /// What serves it.
+    /// The kind of endpoint that serves it.
     pub kind: ServiceKind,
-    /// How urgent its requests are.
+    /// The priority class of its requests.
     pub class: Class,
-    /// Milliseconds a request may take.
+    /// Default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Waiting requests per model.
+    /// Limit of waiting requests per model.
     pub queue: u64,
-    /// Whether a model's call may be sent twice.
+    /// Whether a call to a model may be sent twice.
     pub repeatable: bool,
-    /// Services this one calls.
+    /// Services that this service calls.
     pub depends: Vec<ServiceKey>,
-    /// Plain endpoints.
+    /// The plain endpoints.
     pub endpoints: Vec<EndpointKey>,
-    /// Plain calls that may not be repeated.
+    /// Calls to plain endpoints that must not be repeated.
     pub unrepeatable: Vec<Method>,
 }
 
-/// One model or adapter.
+/// A model or adapter.
 #[derive(Debug, Clone)]
 pub struct Model {
-    /// Its name.
+    /// The model's name.
     pub name: String,
-    /// Its service.
+    /// The service that the model belongs to.
     pub service: ServiceKey,
-    /// Whose memory share it counts against.
+    /// The organisation against whose memory share the model counts.
     pub org: OrgKey,
-    /// The model that an adapter needs beneath it.
+    /// The base model, for an adapter.
     pub base: Option<ModelKey>,
-    /// Memory when loaded, with room for its KV cache, in MB.
+    /// Memory that the loaded model uses, including its KV cache, in MB.
     pub memory_mb: u64,
-    /// Memory while loading, in MB; never below `memory_mb`.
+    /// Memory that the model uses while loading, in MB; at least `memory_mb`.
     pub peak_mb: u64,
     /// Load time from the weight store, in milliseconds.
     pub remote_ms: u64,
     /// Load time from an endpoint's disk cache, in milliseconds.
     pub disk_ms: u64,
-    /// Load time from an endpoint's memory cache, in milliseconds.
+    /// Load time from an endpoint's RAM cache, in milliseconds.
     pub ram_ms: u64,
-    /// Replicas at most.
+    /// Maximum number of replicas.
     pub replicas: u64,
-    /// How many services depend on its service.
+    /// Number of services that depend on the model's service.
     pub dependants: u64,
 }
 
-/// What the text says of one endpoint.
+/// The configuration of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointSpec {
-    /// Whether the engine refuses an order with an old fencing number.
+    /// Whether the engine refuses an order with an outdated fencing token.
     pub fencing: bool,
 }
 
-/// A checked text.
+/// A validated configuration.
 #[derive(Debug, Clone)]
 pub struct Catalogue {
-    /// The version under which the text was accepted; 0 before any.
+    /// The version under which the configuration was accepted; 0 for the empty catalogue.
     pub version: u64,
-    /// What all share.
+    /// Limits that all organisations share.
     pub pool: Pool,
-    /// Organisations.
+    /// The organisations.
     pub organisations: Map<OrgKey, Organisation>,
-    /// Services.
+    /// The services.
     pub services: Map<ServiceKey, Service>,
-    /// Models and adapters.
+    /// The models and adapters.
     pub models: Map<ModelKey, Model>,
-    /// Endpoints with a section.
+    /// The endpoints that have a section.
     pub endpoints: Map<EndpointKey, EndpointSpec>,
 }
 
 impl Catalogue {
-    /// A catalogue in which nothing is served.
+    /// Returns a catalogue without services and models.
     pub fn empty() -> Catalogue {
         Catalogue {
             version: 0,
@@ -187,10 +187,10 @@
         }
     }
 
-    /// Checks `text` and compiles it.
+    /// Validates and compiles `text`.
     ///
     /// # Errors
-    /// Every problem of the text, each with file, line, section and key.
+    /// All problems of the configuration, each with file, line, section and key.
     pub fn compile(
         file: &str,
         text: &str,
@@ -204,7 +204,7 @@
             registry,
             errors: &mut errors,
             catalogue: Catalogue { version, ..Catalogue::empty() },
-            lines: Map::default(),
+            service_sections: Map::default(),
             pool_seen: false,
         };
         for pass in [1, 2, 3, 4] {
@@ -218,7 +218,7 @@
         if errors.is_empty() { Ok(catalogue) } else { Err(ConfigErrors(errors)) }
     }
 
-    /// Whose key this is. All keys are compared, each in constant time.
+    /// Returns the organisation of an API key. Always compares all keys, each in constant time.
     pub fn organisation_of(&self, hash: &ApiKeyHash) -> Option<OrgKey> {
         let mut found = None;
         for (key, org) in &self.organisations {
@@ -237,12 +237,12 @@
     registry: &'a mut Registry,
     errors: &'a mut Vec<ConfigError>,
     catalogue: Catalogue,
-    lines: Map<ServiceKey, Section>,
+    service_sections: Map<ServiceKey, Section>,
     pool_seen: bool,
 }
 
 impl CatalogueBuilder<'_> {
-    /// Reads a section in the pass that its kind belongs to: what is named comes before what names.
+    /// Reads a section in the pass of its kind. Sections are read after the kinds that they refer to.
     fn read(&mut self, section: &Section, pass: u8) {
         match (section.kind.as_str(), pass) {
             ("pool", 1) => self.pool(section),
@@ -315,12 +315,12 @@
         let org = self.registry.organisations.intern(&org_name);
         if !org_name.is_empty() && !self.catalogue.organisations.contains_key(&org) {
             let name = org_name;
-            fields.fail("organisation", Problem::Dangling { kind: "organisation", name });
+            fields.fail("organisation", Problem::UnknownReference { kind: "organisation", name });
         }
         let kind = fields.or("kind", ServiceKind::Model);
         let class = fields.or("class", Class::Normal);
         let deadline_ms = fields.or("deadline_ms", DEFAULT_DEADLINE_MS).max(1);
-        let queue = fields.or("queue", DEFAULT_QUEUE).max(1);
+        let queue = fields.or("queue", DEFAULT_QUEUE_LIMIT).max(1);
         let repeatable = fields.or("repeatable", true);
         let depends = fields.list("depends");
         let endpoints = fields.list("endpoints");
@@ -342,7 +342,7 @@
         let depends = depends.iter().map(|name| self.registry.services.intern(name)).collect();
         let endpoints = endpoints.iter().map(|name| self.registry.endpoints.intern(name)).collect();
         let key = self.registry.services.intern(&section.name);
-        self.lines.insert(key, section.clone());
+        self.service_sections.insert(key, section.clone());
         let service = Service {
             name: section.name.clone(),
             org,
@@ -364,7 +364,7 @@
         let base = base_name.as_ref().map(|name| self.registry.models.intern(name));
         let base_model = base.and_then(|key| self.catalogue.models.get(&key)).cloned();
         if let (Some(name), None) = (&base_name, &base_model) {
-            fields.fail("base", Problem::Dangling { kind: "model", name: name.clone() });
+            fields.fail("base", Problem::UnknownReference { kind: "model", name: name.clone() });
         }
         let service_name = match &base_model {
             Some(model) => {
@@ -378,7 +378,7 @@
         let owner = self.catalogue.services.get(&service);
         if owner.is_none() && !service_name.is_empty() {
             let name = service_name;
-            fields.fail("service", Problem::Dangling { kind: "service", name });
+            fields.fail("service", Problem::UnknownReference { kind: "service", name });
         }
         let memory_mb = fields.required("memory_mb").unwrap_or(1).max(1);
         let peak_mb = fields.or("peak_mb", memory_mb).max(memory_mb);
@@ -387,7 +387,8 @@
         let ram_ms = fields.or("load_ram_ms", remote_ms.div_ceil(RAM_SPEEDUP));
         let replicas = fields.or("replicas", DEFAULT_REPLICAS).max(1);
         fields.finish();
-        let org = owner.map_or_else(|| self.registry.organisations.intern(""), |it| it.org);
+        let org =
+            owner.map_or_else(|| self.registry.organisations.intern(""), |service| service.org);
         let key = self.registry.models.intern(&section.name);
         let name = section.name.clone();
         let model = Model {
@@ -404,7 +405,7 @@
             dependants: 0,
         };
         if self.catalogue.models.insert(key, model).is_some() {
-            self.fail(section, Problem::SectionName("a name that no model or adapter has"));
+            self.fail(section, Problem::SectionName("a name that no other model or adapter has"));
         }
     }
 
@@ -418,7 +419,7 @@
                 problem: Problem::MissingSection,
             });
         }
-        for (key, section) in std::mem::take(&mut self.lines) {
+        for (key, section) in std::mem::take(&mut self.service_sections) {
             self.check_dependencies(key, &section);
         }
         self.count_dependants();
@@ -435,7 +436,8 @@
             }
             match self.catalogue.services.get(&next) {
                 None => {
-                    return fields.fail("depends", Problem::Dangling { kind: "service", name });
+                    return fields
+                        .fail("depends", Problem::UnknownReference { kind: "service", name });
                 }
                 Some(service) if !seen.contains(&next) => {
                     seen.push(next);
@@ -462,7 +464,7 @@
 fn parse_method(text: &str) -> Option<Method> {
     let (verb, path) = text.split_once(' ')?;
     let path = path.trim();
-    let verb_fits = !verb.is_empty() && verb.bytes().all(|byte| byte.is_ascii_uppercase());
-    (verb_fits && path.starts_with('/'))
+    let verb_valid = !verb.is_empty() && verb.bytes().all(|byte| byte.is_ascii_uppercase());
+    (verb_valid && path.starts_with('/'))
         .then(|| Method { verb: verb.to_owned(), path: path.to_owned() })
 }
--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -1,37 +1,37 @@
-//! What changed between two versions of the text, by section.
+//! Differences between two configuration versions, by section.
 
 use std::collections::BTreeMap;
 
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// The SHA-256 of a text's canonical form, in hexadecimal.
+/// Returns the SHA-256 of a configuration's canonical form, in hexadecimal.
 pub fn digest(text: &str) -> String {
     let hash = Sha256::digest(canonical(&split(text)).as_bytes());
     hash.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The sections to replace and to drop.
+/// The sections to replace and to remove.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Delta {
-    /// New or changed sections: header and lines, as text.
+    /// New or changed sections, each as text with its header.
     pub changed: Vec<String>,
-    /// Headers of dropped sections.
+    /// Headers of removed sections.
     pub removed: Vec<String>,
-    /// Digest of the text that results.
+    /// Digest of the resulting configuration.
     pub digest: String,
 }
 
-/// Why a delta does not fit.
+/// Why a delta cannot be applied.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// The result has another digest: the base was another text.
-    #[error("the delta was made from another base text")]
+    /// The result has a different digest, so the delta was made from a different base.
+    #[error("the delta was made from a different base configuration")]
     WrongBase,
 }
 
 impl Delta {
-    /// The difference that leads from `old` to `new`.
+    /// Computes the delta from `old` to `new`.
     pub fn between(old: &str, new: &str) -> Delta {
         let old = split(old);
         let new_sections = split(new);
@@ -45,11 +45,12 @@
         Delta { changed, removed, digest: digest(new) }
     }
 
-    /// Applies the difference to `text`; the result is in canonical form.
+    /// Applies the delta to `text`; the result is in canonical form.
     ///
     /// # Errors
-    /// [`DeltaError::WrongBase`] if the digest differs: a process that missed a version would else
-    /// run a text that nobody accepted. It then fetches the whole text.
+    /// [`DeltaError::WrongBase`] if the digest differs. Without this check a process that missed a
+    /// version would run a configuration that was never accepted. The caller then fetches the whole
+    /// configuration.
     pub fn apply(&self, text: &str) -> Result<String, DeltaError> {
         let mut sections = split(text);
         for header in &self.removed {
@@ -62,13 +63,13 @@
         if digest(&result) == self.digest { Ok(result) } else { Err(DeltaError::WrongBase) }
     }
 
-    /// The bytes of text that the difference carries.
+    /// Returns the size of the delta in bytes.
     pub fn size(&self) -> usize {
         self.changed.iter().chain(&self.removed).map(String::len).sum()
     }
 }
 
-/// Headers (with brackets) to their lines, without comments and blank lines.
+/// Maps section headers, with brackets, to their lines, without comments and blank lines.
 fn split(text: &str) -> BTreeMap<String, String> {
     let mut sections = BTreeMap::new();
     let mut header = String::new();
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,72 +1,72 @@
-//! What is wrong with a text, and where.
+//! Problems of a configuration or settings file, with their places.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// What is wrong with one line.
+/// A problem with a line or section.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Problem {
-    /// The line is not INI.
+    /// The line is not valid INI.
     #[error("not a section, a `key = value` or a comment: `{0}`")]
     Syntax(String),
-    /// A key stands before the first section.
+    /// A key precedes the first section.
     #[error("stands before the first [section]")]
     OutsideSection,
-    /// The section's first word names no kind.
+    /// The first word of the section header is not a known kind.
     #[error("unknown kind of section; expected one of: {0}")]
     UnknownSection(&'static str),
-    /// The section needs a name after its kind, or takes none.
+    /// The name after the section's kind is missing or already used.
     #[error("expected {0}")]
     SectionName(&'static str),
-    /// The same section stands twice.
+    /// The section occurs twice.
     #[error("the section stands already on line {0}")]
     DuplicateSection(usize),
-    /// The same key stands twice in a section.
+    /// The key occurs twice in a section.
     #[error("the key stands already on line {0}")]
     DuplicateKey(usize),
-    /// No such key in this kind of section.
+    /// This kind of section has no such key.
     #[error("unknown key")]
     UnknownKey,
-    /// A key that must be given is missing.
+    /// A required key is missing.
     #[error("missing; expected {0}")]
     Missing(&'static str),
-    /// The value has the wrong shape.
+    /// The value cannot be parsed.
     #[error("expected {expected}, found `{found}`")]
     Value {
-        /// The shape and unit that fit.
+        /// The expected type.
         expected: &'static str,
         /// The value as written.
         found: String,
     },
-    /// The value names something that no section describes.
-    #[error("names {kind} `{name}`, which no section describes")]
-    Dangling {
+    /// The value refers to a section that does not exist.
+    #[error("names {kind} `{name}`, which has no section")]
+    UnknownReference {
         /// The kind of section that is missing.
         kind: &'static str,
         /// The name as written.
         name: String,
     },
-    /// The dependency leads back to where it started.
-    #[error("depends on itself by way of `{0}`")]
+    /// The service depends on itself, directly or indirectly.
+    #[error("depends on itself through `{0}`")]
     Cycle(String),
     /// A required section is missing.
     #[error("the section is missing")]
     MissingSection,
 }
 
-/// One problem and its place.
+/// A problem and its place.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct ConfigError {
-    /// The file as it was named.
+    /// The file name as given.
     pub file: String,
-    /// The line, from 1; 0 where the whole file is meant.
+    /// The line, from 1; 0 if the problem concerns the whole file.
     pub line: usize,
     /// The section's header without brackets; empty outside sections.
     pub section: String,
-    /// The key; empty where the section itself is meant.
+    /// The key; empty if the problem concerns the section itself.
     pub key: String,
-    /// What is wrong.
+    /// The problem.
     pub problem: Problem,
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// Everything wrong with a text, in the order of its lines.
+/// All problems of a file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -1,4 +1,4 @@
-//! Typed reading of a section's keys, with every problem collected.
+//! Typed reading of a section's keys; collects all problems.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
     ini::{Entry, Section},
 };
 
-/// A shape that a value may have.
+/// A type that a value can be parsed as.
 pub(crate) trait Value: Sized {
     const EXPECTED: &'static str;
     fn parse(text: &str) -> Option<Self>;
@@ -32,7 +32,7 @@
 }
 
 impl Value for String {
-    const EXPECTED: &'static str = "a word";
+    const EXPECTED: &'static str = "a non-empty value";
     fn parse(text: &str) -> Option<String> {
         (!text.is_empty()).then(|| text.to_owned())
     }
@@ -45,18 +45,18 @@
     }
 }
 
-/// A list with commas.
+/// A comma-separated list.
 pub(crate) struct List(pub(crate) Vec<String>);
 
 impl Value for List {
-    const EXPECTED: &'static str = "a list with commas";
+    const EXPECTED: &'static str = "a comma-separated list";
     fn parse(text: &str) -> Option<List> {
         let items = text.split(',').map(|item| item.trim().to_owned()).collect::<Vec<_>>();
         items.iter().all(|item| !item.is_empty()).then_some(List(items))
     }
 }
 
-/// Reads one section; what stays unread at the end is an unknown key.
+/// Reads the keys of one section; keys that remain unread at the end are reported as unknown.
 pub(crate) struct Fields<'a> {
     file: &'a str,
     section: &'a Section,
@@ -105,7 +105,7 @@
         self.optional::<List>(key).map(|list| list.0).unwrap_or_default()
     }
 
-    /// The entries whose key begins with `prefix`, as (key, value, line).
+    /// Returns the entries whose key begins with `prefix`.
     pub(crate) fn prefixed(&mut self, prefix: &str) -> Vec<&'a Entry> {
         let section = self.section;
         let found = section.entries.iter().filter(|entry| entry.key.starts_with(prefix));
@@ -130,7 +130,7 @@
         });
     }
 
-    /// Reports every key that nobody read.
+    /// Reports every key that was not read.
     pub(crate) fn finish(mut self) {
         for entry in &self.section.entries {
             if !self.read.contains(&entry.key.as_str()) {
--- a/crates/config/src/ini.rs
+++ b/crates/config/src/ini.rs
@@ -1,4 +1,4 @@
-//! INI sections with their line numbers.
+//! Parser for INI sections with line numbers.
 
 use std::collections::HashMap;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Splits `text` into sections; problems go to `errors` and the rest is still read.
+/// Parses `text` into sections. Problems are added to `errors` and parsing continues.
 pub(crate) fn parse(file: &str, text: &str, errors: &mut Vec<ConfigError>) -> Vec<Section> {
     let mut sections: Vec<Section> = Vec::new();
     let mut seen = HashMap::new();
--- a/crates/config/src/keys.rs
+++ b/crates/config/src/keys.rs
@@ -1,4 +1,4 @@
-//! API keys: only their hashes are ever kept.
+//! API keys, of which only the hashes are stored.
 
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
@@ -10,12 +10,12 @@
 pub struct ApiKeyHash([u8; 32]);
 
 impl ApiKeyHash {
-    /// Compares in constant time, so that timing tells a stranger nothing about the hash.
+    /// Compares in constant time, so that timing reveals nothing about the hash.
     pub fn matches(&self, other: &ApiKeyHash) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 
-    /// The hash in hexadecimal, as the operators' text has it.
+    /// Returns the hash in hexadecimal, as it follows `sha256:` in the configuration.
     pub fn to_hex(self) -> String {
         self.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
@@ -27,7 +27,7 @@
     }
 }
 
-/// The hash of a caller's API key.
+/// Hashes a caller's API key.
 pub fn hash_api_key(key: &str) -> ApiKeyHash {
     ApiKeyHash(Sha256::digest(key.as_bytes()).into())
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' text and the process settings.
+//! The operators' configuration and the process settings.
 //!
-//! Both are INI. This crate exists so that every process and the operators' client check a text in
-//! the same way: whatever [`Catalogue::compile`] accepts can be acted on without further checks.
+//! Both are INI. Every process and the operators' client validate a configuration with this crate:
+//! what [`Catalogue::compile`] accepts needs no further checks.
 
 mod catalogue;
 mod delta;
--- a/crates/config/src/pool.rs
+++ b/crates/config/src/pool.rs
@@ -1,4 +1,4 @@
-//! Settings of the pool's processes.
+//! Settings of the processes of a pool.
 
 use std::net::SocketAddr;
 
@@ -8,44 +8,44 @@
     settings::Reader,
 };
 
-/// Milliseconds after an outage of the store within which all that changed is known again, when the
-/// settings do not say.
+/// Time limit in milliseconds for learning all changes after an outage of the platform store, if the
+/// settings do not set it.
 const DEFAULT_RECOVER_MS: u64 = 3_000;
 
-/// Where one process of the pool stands and listens, and what it keeps to.
+/// Settings of one process of a pool: its place, addresses and limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolSettings {
     /// The process's name, unique in the deployment.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where callers reach an entry.
+    /// The address at which an entry listens for callers.
     pub callers: Option<SocketAddr>,
-    /// Where the balancer asks whether an entry is ready.
+    /// The address of an entry's readiness check, for the load balancer.
     pub readiness: Option<SocketAddr>,
-    /// Where entries reach a side; on every instance the same port.
+    /// The address at which a side listens for entries; the port is the same on every instance.
     pub peers: SocketAddr,
-    /// Where metrics are served.
+    /// The address at which metrics are served.
     pub metrics: SocketAddr,
-    /// Where an entry tells other entries what it believes.
+    /// The address at which an entry serves its known state to other entries.
     pub snapshots: Option<SocketAddr>,
-    /// Where other entries do so; some may be down.
+    /// The `snapshots` addresses of other entries; some may be down.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform store.
     pub store: SocketAddr,
-    /// Milliseconds after an outage of the store within which all that changed is known again.
+    /// Time limit for learning all changes after an outage of the platform store, in milliseconds.
     pub recover_ms: u64,
-    /// The endpoint beside a side.
+    /// The address of a side's endpoint.
     pub endpoint: Option<SocketAddr>,
-    /// The service of that endpoint.
+    /// The service that the endpoint belongs to.
     pub service: String,
-    /// Second sends allowed, as a share of requests.
+    /// Allowed retries as a fraction of requests.
     pub retry_ratio: f64,
-    /// Second sends allowed besides, over all entries.
+    /// Additional allowed retries, over all entries.
     pub retry_slack: f64,
-    /// The window of both, in milliseconds.
+    /// The window over which retries are counted, in milliseconds.
     pub retry_window_ms: u64,
-    /// Milliseconds that a planned stop may take.
+    /// Time limit of a planned stop, in milliseconds.
     pub stop_ms: u64,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// A value that may be left empty, as a template leaves what an instance does not have.
+/// A value that may be empty, as when a template fills in nothing for this instance.
 struct Maybe<V>(Option<V>);
 
 impl<V: Value> Value for Maybe<V> {
@@ -66,12 +66,12 @@
     }
 }
 
-/// Addresses with commas between them; may be empty.
+/// Comma-separated addresses; may be empty.
 #[derive(Default)]
 struct Addresses(Vec<SocketAddr>);
 
 impl Value for Addresses {
-    const EXPECTED: &'static str = "addresses with commas between them";
+    const EXPECTED: &'static str = "comma-separated addresses";
     fn parse(text: &str) -> Option<Addresses> {
         let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
         let parts = parts.map(|part| part.parse().ok()).collect::<Option<Vec<_>>>();
@@ -84,10 +84,10 @@
 }
 
 impl PoolSettings {
-    /// Reads and checks the settings.
+    /// Parses and validates the settings.
     ///
     /// # Errors
-    /// Every problem, each with file, line, section and key.
+    /// All problems, each with file, line, section and key.
     pub fn parse(file: &str, text: &str) -> Result<PoolSettings, ConfigErrors> {
         let kinds = ["process", "listen", "platform", "endpoint", "retry"];
         let mut reader = Reader::new(file, text, &kinds);
--- a/crates/config/src/registry.rs
+++ b/crates/config/src/registry.rs
@@ -1,8 +1,8 @@
-//! The names of one process: every catalogue is compiled against the same tables.
+//! Interned names of one process, shared by all catalogues that it compiles.
 
 use citronrill_base::{EndpointKey, ModelKey, Names, OrgKey, ServiceKey};
 
-/// Interned names that outlive any one version of the text.
+/// Interned names that stay valid across configuration versions.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
     /// Models and adapters.
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process.
+//! Settings of a process.
 
 use std::net::SocketAddr;
 
@@ -8,18 +8,18 @@
     ini::{Section, parse},
 };
 
-/// Seconds a planned stop may take when the settings do not say.
+/// Time limit of a planned stop in seconds if the settings do not set it.
 const DEFAULT_STOP_S: u64 = 30;
 const SETTING_KINDS: &str = "instance, platform, and entry, side or client; in a pool: process, \
                              listen, platform, endpoint and retry";
-/// Bytes of a request's body when the settings do not say.
-const DEFAULT_BODY: u64 = 8 << 20;
-/// Requests an engine runs at once when the settings do not say.
+/// Limit of a request body in bytes if the settings do not set it.
+const DEFAULT_BODY_LIMIT: u64 = 8 << 20;
+/// Concurrent requests of an engine if the settings do not set them.
 const DEFAULT_SLOTS: u64 = 16;
-/// Requests an entry keeps at once when the settings do not say.
-const DEFAULT_REQUESTS: u64 = 10_000;
+/// Concurrent requests of an entry if the settings do not set them.
+const DEFAULT_REQUEST_LIMIT: u64 = 10_000;
 
-/// Where the platform's services are.
+/// Addresses of the platform services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformSettings {
     /// The transactional table.
@@ -30,18 +30,18 @@
     pub instances: SocketAddr,
 }
 
-/// What both roles need.
+/// Settings that both roles need.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// The instance's name, unique in the deployment.
     pub instance: String,
     /// The availability zone.
     pub zone: String,
-    /// Where peers reach the process.
+    /// The address at which the process listens for peers.
     pub listen: SocketAddr,
-    /// The key that citronrill's own processes share; never logged.
+    /// The secret that the processes of the deployment share; never logged.
     pub secret: String,
-    /// Seconds a planned stop may take.
+    /// Time limit of a planned stop, in seconds.
     pub stop_s: u64,
     /// The platform's services.
     pub platform: PlatformSettings,
@@ -50,17 +50,17 @@
 /// Settings of an entry process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntrySettings {
-    /// What both roles need.
+    /// The settings that both roles need.
     pub common: Settings,
-    /// Where callers reach the process.
+    /// The address at which the process listens for callers.
     pub http: SocketAddr,
-    /// Bytes of a request's body at most.
+    /// Limit of a request body, in bytes.
     pub body_limit: u64,
-    /// Requests kept at once at most.
+    /// Limit of concurrent requests.
     pub request_limit: u64,
 }
 
-/// What kind of endpoint a side process stands beside.
+/// The kind of endpoint that a side process serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SideKind {
     /// A model engine.
@@ -83,44 +83,44 @@
 /// Settings of a side process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SideSettings {
-    /// What both roles need.
+    /// The settings that both roles need.
     pub common: Settings,
     /// The endpoint's name.
     pub endpoint: String,
-    /// Where the endpoint listens.
+    /// The address at which the endpoint listens.
     pub target: SocketAddr,
-    /// What kind of endpoint it is.
+    /// The kind of endpoint.
     pub kind: SideKind,
     /// Accelerator memory, in MB.
     pub memory_mb: u64,
-    /// Requests run at once.
+    /// Limit of concurrent requests of the endpoint.
     pub slots: u64,
-    /// Whether the engine refuses an order with an old fencing number.
+    /// Whether the engine refuses an order with an outdated fencing token.
     pub fencing: bool,
 }
 
 impl EntrySettings {
-    /// Reads and checks the settings of an entry.
+    /// Parses and validates the settings of an entry.
     ///
     /// # Errors
-    /// Every problem, each with file, line, section and key.
+    /// All problems, each with file, line, section and key.
     pub fn parse(file: &str, text: &str) -> Result<EntrySettings, ConfigErrors> {
         read(file, text, "entry", |common, fields| {
             Some(EntrySettings {
                 common,
                 http: fields.required("http")?,
-                body_limit: fields.or("body_limit", DEFAULT_BODY),
-                request_limit: fields.or("request_limit", DEFAULT_REQUESTS),
+                body_limit: fields.or("body_limit", DEFAULT_BODY_LIMIT),
+                request_limit: fields.or("request_limit", DEFAULT_REQUEST_LIMIT),
             })
         })
     }
 }
 
 impl SideSettings {
-    /// Reads and checks the settings of a side process.
+    /// Parses and validates the settings of a side process.
     ///
     /// # Errors
-    /// Every problem, each with file, line, section and key.
+    /// All problems, each with file, line, section and key.
     pub fn parse(file: &str, text: &str) -> Result<SideSettings, ConfigErrors> {
         read(file, text, "side", |common, fields| {
             let endpoint = fields.required("endpoint");
@@ -148,19 +148,19 @@
 pub struct ClientSettings {
     /// The platform's services.
     pub platform: PlatformSettings,
-    /// The key that citronrill's own processes share.
+    /// The secret that the processes of the deployment share.
     pub secret: String,
-    /// Where callers reach an entry.
+    /// The address of an entry for callers.
     pub http: SocketAddr,
-    /// The API key to ask with.
+    /// The API key for requests.
     pub key: String,
 }
 
 impl ClientSettings {
-    /// Reads and checks the settings of the operators' client.
+    /// Parses and validates the settings of the operators' client.
     ///
     /// # Errors
-    /// Every problem, each with file, line, section and key.
+    /// All problems, each with file, line, section and key.
     pub fn parse(file: &str, text: &str) -> Result<ClientSettings, ConfigErrors> {
         let mut reader = Reader::new(file, text, &["platform", "client"]);
         let platform = read_platform(reader.fields("platform"));
@@ -175,25 +175,25 @@
     }
 }
 
-/// Reads the three sections of a process's settings; `role` reads its own.
+/// Reads the three sections of a process's settings; `read_role` reads the role's section.
 fn read<T>(
     file: &str,
     text: &str,
     kind: &'static str,
-    role: impl FnOnce(Settings, &mut Fields<'_>) -> Option<T>,
+    read_role: impl FnOnce(Settings, &mut Fields<'_>) -> Option<T>,
 ) -> Result<T, ConfigErrors> {
     let mut reader = Reader::new(file, text, &["instance", "platform", kind]);
     let platform = read_platform(reader.fields("platform"));
     let common = platform.and_then(|platform| read_instance(reader.fields("instance"), platform));
     let mut fields = reader.fields(kind);
-    let settings = common.and_then(|common| role(common, &mut fields));
+    let settings = common.and_then(|common| read_role(common, &mut fields));
     if settings.is_some() {
         fields.finish();
     }
     reader.finish(|| settings)
 }
 
-/// The sections of a settings file, and what is wrong with them.
+/// The sections of a settings file, with the problems found in them.
 pub(crate) struct Reader<'a> {
     file: &'a str,
     sections: Vec<Section>,
@@ -201,19 +201,19 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Reads a file in which each of `kinds` must stand, and nothing else.
+    /// Reads a file that must contain exactly the sections `kinds`.
     pub(crate) fn new(file: &'a str, text: &str, kinds: &[&'static str]) -> Reader<'a> {
         let mut errors = Vec::new();
         let mut sections = parse(file, text, &mut errors);
         for section in &sections {
             if !kinds.contains(&section.kind.as_str()) {
                 let problem = Problem::UnknownSection(SETTING_KINDS);
-                errors.push(whole_section(file, section.line, &section.header(), problem));
+                errors.push(section_error(file, section.line, &section.header(), problem));
             }
         }
         for kind in kinds {
             if !sections.iter().any(|section| section.kind == *kind) {
-                errors.push(whole_section(file, 0, kind, Problem::MissingSection));
+                errors.push(section_error(file, 0, kind, Problem::MissingSection));
                 let (kind, name) = ((*kind).to_owned(), String::new());
                 sections.push(Section { kind, name, line: 0, entries: Vec::new() });
             }
@@ -234,7 +234,7 @@
     }
 }
 
-fn whole_section(file: &str, line: usize, section: &str, problem: Problem) -> ConfigError {
+fn section_error(file: &str, line: usize, section: &str, problem: Problem) -> ConfigError {
     let (file, section) = (file.to_owned(), section.to_owned());
     ConfigError { file, line, section, key: String::new(), problem }
 }
--- a/crates/config/tests/pool.rs
+++ b/crates/config/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Settings of the pool's processes.
+//! Settings of the processes of a pool.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
@@ -13,19 +13,19 @@
     )
 }
 
-/// Guards against a process that does not start where the template has nothing to fill in.
+/// Guards against a process that does not start because its template left the value empty.
 #[rstest]
 #[case::named("recover_ms = 5000\n", 5_000)]
 #[case::left_empty("recover_ms =\n", 3_000)]
 #[case::left_out("", 3_000)]
-fn the_time_to_recover_has_a_default(#[case] line: &str, #[case] expected: u64) {
+fn recover_ms_has_a_default(#[case] line: &str, #[case] expected: u64) {
     let read = PoolSettings::parse("entry.ini", &settings(line)).unwrap();
     assert_eq!(read.recover_ms, expected);
 }
 
-/// Guards against a number that cannot be read and is passed over in silence.
+/// Guards against an invalid number that is silently ignored.
 #[test]
-fn a_time_to_recover_that_is_no_number_is_named() {
+fn an_invalid_recover_ms_is_reported() {
     let errors = PoolSettings::parse("entry.ini", &settings("recover_ms = soon\n")).unwrap_err();
     assert!(errors.to_string().contains("recover_ms"), "{errors}");
 }
--- a/crates/config/tests/text.rs
+++ b/crates/config/tests/text.rs
@@ -1,4 +1,4 @@
-//! The operators' text and the settings: what is accepted, and what every error says.
+//! The operators' configuration and the settings: accepted inputs and error messages.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
@@ -7,7 +7,7 @@
 };
 use rstest::rstest;
 
-const TEXT: &str = "[pool]\nloads_second = 7\nloads_once = 4\n\
+const CONFIG: &str = "[pool]\nloads_second = 7\nloads_once = 4\n\
                     [organisation a]\nshare_mb = 100\n\
                     [service s]\norganisation = a\n\
                     [model m]\nservice = s\nmemory_mb = 10\nload_ms = 5\n";
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn a_text_without_faults_is_compiled() {
+fn a_valid_configuration_compiles() {
     let mut registry = Registry::default();
-    let catalogue = Catalogue::compile("t.ini", TEXT, 3, &mut registry).unwrap();
+    let catalogue = Catalogue::compile("t.ini", CONFIG, 3, &mut registry).unwrap();
     let model = &catalogue.models[&registry.models.get("m").unwrap()];
     assert_eq!((catalogue.version, model.memory_mb, model.peak_mb), (3, 10, 10));
 }
 
-/// An operator must find the line without reading the whole text.
+/// An operator must find the line without searching the whole configuration.
 #[rstest]
 #[case("stray = 1\n", "t.ini:1: stray: stands before the first [section]")]
 #[case("[pool]\nloads_second = -1\n", "t.ini:2: [pool] loads_second: expected a whole number")]
@@ -41,26 +41,26 @@
 #[case("[service s]\ndepends = s\n", "[service s] depends: depends on itself")]
 #[case("[service s]\nkind = plain\nunrepeatable = book\n", "expected `METHOD /path`, with commas")]
 #[case("", "t.ini:0: [pool] the section is missing")]
-fn each_error_names_its_place(#[case] text: &str, #[case] expected: &str) {
+fn each_error_reports_its_place(#[case] text: &str, #[case] expected: &str) {
     let errors = errors(text);
     assert!(errors.contains(expected), "{errors}");
 }
 
-/// A key that is no hash may be the key itself: it must not be printed.
+/// A value that is not a hash may be the API key itself, which must not be printed.
 #[test]
-fn a_key_in_the_wrong_place_is_not_printed() {
+fn an_unhashed_api_key_is_not_printed() {
     assert!(!errors("[organisation a]\nkey.1 = very-secret\n").contains("very-secret"));
 }
 
-/// A process that missed a version must not run a text that nobody accepted.
+/// A process that missed a version must not run a configuration that was never accepted.
 #[test]
-fn a_delta_fits_only_the_text_it_was_made_from() {
-    let next = TEXT.replace("memory_mb = 10", "memory_mb = 11") + "[endpoint e]\n";
-    let delta = Delta::between(TEXT, &next);
+fn a_delta_applies_only_to_its_base() {
+    let next = CONFIG.replace("memory_mb = 10", "memory_mb = 11") + "[endpoint e]\n";
+    let delta = Delta::between(CONFIG, &next);
     assert!(delta.size() < next.len() / 2);
-    assert_eq!(digest(&delta.apply(TEXT).unwrap()), digest(&next));
+    assert_eq!(digest(&delta.apply(CONFIG).unwrap()), digest(&next));
     let other =
-        TEXT.replace("load_ms = 5", "load_ms = 6").replace("share_mb = 100", "share_mb = 1");
+        CONFIG.replace("load_ms = 5", "load_ms = 6").replace("share_mb = 100", "share_mb = 1");
     assert_eq!(delta.apply(&other), Err(DeltaError::WrongBase));
 }
 
@@ -69,7 +69,7 @@
     "[platform]\ntable = 127.0.0.1:2\nobjects = 127.0.0.1:2\ninstances = 127.0.0.1:2\n";
 
 #[test]
-fn settings_of_each_role_are_read() {
+fn settings_of_each_role_are_parsed() {
     let entry = format!("{INSTANCE}{PLATFORM}[entry]\nhttp = 127.0.0.1:3\n");
     assert_eq!(EntrySettings::parse("e.ini", &entry).unwrap().common.stop_s, 30);
     let side =
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn settings_errors_name_their_place() {
+fn settings_errors_report_their_place() {
     let text = format!("{INSTANCE}{PLATFORM}[entry]\nhttp = localhost:3\n");
     let errors = EntrySettings::parse("e.ini", &text).unwrap_err().to_string();
     assert!(errors.contains("e.ini:11: [entry] http: expected an IP number and port"), "{errors}");
@@ -88,7 +88,7 @@
     assert!(errors.contains("s.ini:0: [platform] the section is missing"), "{errors}");
 }
 
-/// The settings reference must have every key that the parser takes, and no other.
+/// The settings reference must list exactly the keys that the parser accepts.
 #[test]
 fn the_settings_reference_is_complete() {
     let page = include_str!("../../../docs/operators/SETTINGS.md");
@@ -120,12 +120,12 @@
         keys
     };
     for key in quoted(&parser) {
-        assert!(page.contains(&format!("`{key}`")), "the page is without `{key}`");
+        assert!(page.contains(&format!("`{key}`")), "the page does not list `{key}`");
     }
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `")).collect::<Vec<_>>();
     assert!(rows.len() > 25);
     for row in rows {
         let key = row.split('`').next().unwrap();
-        assert!(parser.contains(&format!("\"{key}\"")), "the parser is without `{key}`");
+        assert!(parser.contains(&format!("\"{key}\"")), "the parser does not accept `{key}`");
     }
 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP clients of the platform's services.
+//! HTTP clients of the platform services.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,9 +11,9 @@
     messages::{TableChanges, TableOutcome, TableRead, TableRows, TableTxn},
 };
 
-/// How long to wait for a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long to wait for an answer.
+/// Timeout for reading a response.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 pub(crate) fn with_timeouts(builder: RequestBuilder) -> RequestBuilder {
@@ -27,14 +27,14 @@
     }
 }
 
-/// A table behind HTTP.
+/// A client of the platform table.
 #[derive(Debug, Clone)]
 pub struct HttpTable {
     address: SocketAddr,
 }
 
 impl HttpTable {
-    /// The table at `address`.
+    /// Creates a client of the table at `address`.
     pub fn new(address: SocketAddr) -> HttpTable {
         HttpTable { address }
     }
@@ -60,7 +60,7 @@
     }
 
     fn commit(&self, txn: &Txn) -> Outcome {
-        // Whatever went wrong, the transaction may have reached the table.
+        // After any error the transaction may still have reached the table.
         let outcome = self.call::<TableOutcome>("commit", &TableTxn::from(txn));
         outcome.map_or(Outcome::Unknown, Outcome::from)
     }
@@ -73,14 +73,14 @@
     }
 }
 
-/// An object store behind HTTP.
+/// A client of the object store.
 #[derive(Debug, Clone)]
 pub struct HttpObjects {
     address: SocketAddr,
 }
 
 impl HttpObjects {
-    /// The store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn new(address: SocketAddr) -> HttpObjects {
         HttpObjects { address }
     }
@@ -106,14 +106,14 @@
     }
 }
 
-/// The instance list behind HTTP.
+/// A client of the platform's instance list.
 #[derive(Debug, Clone)]
 pub struct HttpInstances {
     address: SocketAddr,
 }
 
 impl HttpInstances {
-    /// The list at `address`.
+    /// Creates a client of the list at `address`.
     pub fn new(address: SocketAddr) -> HttpInstances {
         HttpInstances { address }
     }
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine's control interface.
+//! Client of a model engine's control interface.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,54 +9,54 @@
     client::{checked, with_timeouts},
 };
 
-/// A load may take this long before its order's connection is given up.
-const LOAD_TIMEOUT: Duration = Duration::from_secs(600);
-/// An order must reach the engine within this time.
-const ORDER_CONNECT: Duration = Duration::from_millis(1_000);
+/// Read timeout of an order's connection; the response arrives when the load or unload has finished.
+const ORDER_READ_TIMEOUT: Duration = Duration::from_secs(600);
+/// Timeout for connecting to the engine to send an order.
+const ORDER_CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A model that an engine holds.
+/// A model that an engine has loaded or is loading.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineModel {
-    /// Its name.
+    /// The model's name.
     pub model: String,
-    /// Whether it serves; else it is loading.
+    /// Whether the model is ready to serve; otherwise it is loading.
     pub ready: bool,
-    /// Memory that it takes, in MB.
+    /// Memory that the model uses, in MB.
     pub memory_mb: u64,
 }
 
 /// A model whose weights an engine has cached.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCache {
-    /// Its name.
+    /// The model's name.
     pub model: String,
-    /// Whether the copy is in memory, and not only on disk.
+    /// Whether the weights are cached in RAM, not only on disk.
     pub ram: bool,
 }
 
-/// What an engine says of itself.
+/// State that an engine reports.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Models that it holds.
+    /// Models that are loaded or loading.
     pub held: Vec<EngineModel>,
-    /// Weights that it has cached.
+    /// Models with cached weights.
     pub cached: Vec<EngineCache>,
 }
 
 /// An order to load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadOrder {
-    /// The order's id; given twice, it is carried out once.
+    /// The order's id; the engine executes orders with the same id only once.
     pub order: u64,
     /// The model's name.
     pub model: String,
     /// The base model's name, for an adapter.
     pub base: String,
-    /// The fencing number.
+    /// The fencing token.
     pub fence: u64,
-    /// Memory when loaded, in MB.
+    /// Memory that the loaded model uses, in MB.
     pub memory_mb: u64,
-    /// Memory while loading, in MB.
+    /// Memory that the model uses while loading, in MB.
     pub peak_mb: u64,
 }
 
@@ -67,52 +67,55 @@
     pub order: u64,
     /// The model's name.
     pub model: String,
-    /// The fencing number.
+    /// The fencing token.
     pub fence: u64,
 }
 
-/// An engine behind HTTP.
+/// A client of a model engine.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
     address: SocketAddr,
 }
 
 impl HttpEngine {
-    /// The engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(address: SocketAddr) -> HttpEngine {
         HttpEngine { address }
     }
 
-    /// What the engine holds.
+    /// Returns the engine's state.
     ///
     /// # Errors
-    /// The engine did not answer in time or answered with an error.
+    /// The engine did not respond in time or responded with an error.
     pub fn state(&self) -> Result<EngineState, PlatformError> {
         let url = format!("http://{}/control/state", self.address);
         let response = checked(with_timeouts(attohttpc::get(url)).send()?)?;
         Ok(serde_json::from_slice(&response.bytes()?)?)
     }
 
-    /// Orders a load; answers when it is done.
+    /// Orders a load and waits until it has finished.
     ///
     /// # Errors
-    /// [`PlatformError::Status`] if the engine refused or failed; else its fate is unknown.
+    /// [`PlatformError::Status`] if the engine refused or failed the order; after any other error the
+    /// outcome is unknown.
     pub fn load(&self, order: &LoadOrder) -> Result<(), PlatformError> {
         self.order("load", order)
     }
 
-    /// Orders an unload; answers when it is done.
+    /// Orders an unload and waits until it has finished.
     ///
     /// # Errors
-    /// [`PlatformError::Status`] if the engine refused or failed; else its fate is unknown.
+    /// [`PlatformError::Status`] if the engine refused or failed the order; after any other error the
+    /// outcome is unknown.
     pub fn unload(&self, order: &UnloadOrder) -> Result<(), PlatformError> {
         self.order("unload", order)
     }
 
-    fn order<O: Serialize>(&self, word: &str, order: &O) -> Result<(), PlatformError> {
-        let url = format!("http://{}/control/{word}", self.address);
+    fn order<O: Serialize>(&self, action: &str, order: &O) -> Result<(), PlatformError> {
+        let url = format!("http://{}/control/{action}", self.address);
         let builder = attohttpc::post(url).json(order)?;
-        let builder = builder.connect_timeout(ORDER_CONNECT).read_timeout(LOAD_TIMEOUT);
+        let builder =
+            builder.connect_timeout(ORDER_CONNECT_TIMEOUT).read_timeout(ORDER_READ_TIMEOUT);
         checked(builder.send()?).map(drop)
     }
 }
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,26 +1,26 @@
-//! Why a service of the platform gave nothing.
+//! Errors of the platform clients.
 
 use thiserror::Error;
 
-/// Why a service of the platform gave nothing.
+/// Why a request to a platform service failed.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// No connection, a cut one, or no answer in time.
-    #[error("no answer: {0}")]
+    /// Connecting failed, the connection broke, or no response arrived in time.
+    #[error("request failed: {0}")]
     Transport(#[from] attohttpc::Error),
-    /// The connection broke in the middle of the answer.
-    #[error("the answer was cut: {0}")]
-    Cut(#[from] std::io::Error),
-    /// The service answered with an error.
-    #[error("the service answered with status {0}")]
+    /// The connection broke while the response was being read.
+    #[error("response truncated: {0}")]
+    Truncated(#[from] std::io::Error),
+    /// The service responded with an error status.
+    #[error("the service responded with status {0}")]
     Status(u16),
-    /// The answer could not be read.
-    #[error("unreadable answer: {0}")]
-    Frame(#[from] prost::DecodeError),
-    /// The answer was not the JSON that was expected.
-    #[error("unreadable answer: {0}")]
+    /// The response is not a valid protobuf message.
+    #[error("invalid response: {0}")]
+    Decode(#[from] prost::DecodeError),
+    /// The response is not the expected JSON.
+    #[error("invalid response: {0}")]
     Json(#[from] serde_json::Error),
-    /// The service is switched off, as by a test.
-    #[error("the service is away")]
-    Away,
+    /// The service is unavailable, for example because a test switched it off.
+    #[error("the service is unavailable")]
+    Unavailable,
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,9 @@
-//! The platform's services, and the endpoints, as citronrill sees them.
+//! Interfaces and clients of the platform services, and a client of the model engines.
 //!
-//! Each is a trait, so that the reducers' effects can be carried out against the real service over
-//! HTTP or against memory. The brief names the services and not their protocols; the HTTP clients
-//! here speak to the stand-ins, and a deployment's own service needs a client of the same trait.
+//! Each service is a trait, so that the reducers' effects can be applied to a real service over HTTP
+//! or to an in-memory implementation. The services' protocols are not specified: the HTTP clients
+//! here speak those of the stand-ins, and a deployment with other services implements the traits for
+//! its own clients.
 
 mod client;
 mod engine;
@@ -20,30 +21,30 @@
 use citronrill_base::{Outcome, Row, Txn};
 use serde::{Deserialize, Serialize};
 
-/// Rows of the feed after a sequence.
+/// Rows of the change feed after a sequence.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Changes {
-    /// Rows in the order of their versions.
+    /// The rows, in the order of their versions.
     pub rows: Vec<Row>,
-    /// The sequence up to which they are complete.
+    /// The sequence up to which the rows are complete.
     pub sequence: u64,
 }
 
 /// The transactional table.
 pub trait Table: Send + Sync {
-    /// Reads rows; rows that do not exist come without a body.
+    /// Reads rows; rows that do not exist are returned without a body.
     ///
     /// # Errors
-    /// The service did not answer in time or answered with an error.
+    /// The service did not respond in time or responded with an error.
     fn read(&self, keys: &[String]) -> Result<Vec<Row>, PlatformError>;
 
-    /// Commits a transaction; a service that does not answer gives [`Outcome::Unknown`].
+    /// Commits a transaction; returns [`Outcome::Unknown`] if the service does not respond.
     fn commit(&self, txn: &Txn) -> Outcome;
 
-    /// Rows whose key begins with `prefix` and whose version is after `since`, up to `limit`.
+    /// Returns rows whose key begins with `prefix` and whose version is after `since`, up to `limit`.
     ///
     /// # Errors
-    /// The service did not answer in time or answered with an error.
+    /// The service did not respond in time or responded with an error.
     fn changes(&self, prefix: &str, since: u64, limit: usize) -> Result<Changes, PlatformError>;
 }
 
@@ -52,17 +53,17 @@
     /// Stores an object.
     ///
     /// # Errors
-    /// The service did not answer in time or answered with an error.
+    /// The service did not respond in time or responded with an error.
     fn put(&self, name: &str, body: &[u8]) -> Result<(), PlatformError>;
 
     /// Fetches an object.
     ///
     /// # Errors
-    /// The service did not answer in time or answered with an error.
+    /// The service did not respond in time or responded with an error.
     fn get(&self, name: &str) -> Result<Option<Vec<u8>>, PlatformError>;
 }
 
-/// What an instance is for.
+/// The role of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -72,26 +73,26 @@
     Side,
 }
 
-/// One instance of the platform's list.
+/// An instance in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its name.
+    /// The instance's name.
     pub name: String,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: String,
-    /// Where citronrill's process on it listens for peers.
+    /// The address at which the citronrill process on the instance listens for peers.
     pub address: String,
-    /// What it is for.
+    /// The role of the instance.
     pub role: Role,
-    /// Whether it will be taken away.
+    /// Whether the instance is due to be removed.
     pub leaving: bool,
 }
 
-/// The lagging list of instances.
+/// The platform's list of instances, which may be out of date.
 pub trait Instances: Send + Sync {
-    /// All live and leaving instances.
+    /// Returns all live and leaving instances.
     ///
     /// # Errors
-    /// The service did not answer in time or answered with an error.
+    /// The service did not respond in time or responded with an error.
     fn list(&self) -> Result<Vec<Instance>, PlatformError>;
 }
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -1,4 +1,4 @@
-//! The table and the object store in memory, for stand-ins, experiments and tests.
+//! In-memory table and object store, for stand-ins, experiments and tests.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -9,14 +9,14 @@
 
 use crate::{Changes, Objects, PlatformError, Table};
 
-/// Operations that a table has carried out.
+/// Counters of a table's operations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TableCounts {
-    /// Read requests, polls for changes among them.
+    /// Read requests, including polls for changes.
     pub reads: u64,
-    /// Transactions that took effect.
+    /// Transactions that were committed.
     pub commits: u64,
-    /// Transactions that met a conflict.
+    /// Transactions that conflicted.
     pub conflicts: u64,
     /// Rows written.
     pub rows: u64,
@@ -25,14 +25,15 @@
 #[derive(Debug, Default)]
 struct State {
     rows: HashMap<String, Row>,
-    order: BTreeMap<u64, Vec<String>>,
+    by_version: BTreeMap<u64, Vec<String>>,
     sequence: u64,
     counts: TableCounts,
 }
 
-/// A table in memory.
+/// An in-memory table.
 ///
-/// Deleted rows keep their version, so that a check made before the deletion fails after it.
+/// A deleted row is kept without a body at the version of its deletion, so that a check with an older
+/// version fails.
 #[derive(Debug, Default)]
 pub struct MemoryTable {
     state: Mutex<State>,
@@ -43,12 +44,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Operations so far.
+    /// Returns the counters of the operations so far.
     pub fn counts(&self) -> TableCounts {
         self.lock().counts
     }
 
-    /// All rows, for oracles and dumps.
+    /// Returns all rows in the order of their keys, for test oracles and dumps.
     pub fn rows(&self) -> Vec<Row> {
         let state = self.lock();
         let mut rows = state.rows.values().cloned().collect::<Vec<_>>();
@@ -58,7 +59,7 @@
 }
 
 impl State {
-    fn holds(&self, txn: &Txn) -> bool {
+    fn checks_pass(&self, txn: &Txn) -> bool {
         txn.checks
             .iter()
             .all(|check| self.rows.get(&check.key).map_or(0, |row| row.version) == check.version)
@@ -68,14 +69,14 @@
         let version = self.sequence;
         let row = Row { key: key.to_owned(), version, body };
         if let Some(old) = self.rows.insert(key.to_owned(), row)
-            && let Some(keys) = self.order.get_mut(&old.version)
+            && let Some(keys) = self.by_version.get_mut(&old.version)
         {
             keys.retain(|other| other != key);
             if keys.is_empty() {
-                self.order.remove(&old.version);
+                self.by_version.remove(&old.version);
             }
         }
-        self.order.entry(version).or_default().push(key.to_owned());
+        self.by_version.entry(version).or_default().push(key.to_owned());
         self.counts.rows += 1;
     }
 }
@@ -93,7 +94,7 @@
 
     fn commit(&self, txn: &Txn) -> Outcome {
         let mut state = self.lock();
-        if !state.holds(txn) {
+        if !state.checks_pass(txn) {
             state.counts.conflicts += 1;
             return Outcome::Conflict;
         }
@@ -109,7 +110,7 @@
         let mut state = self.lock();
         state.counts.reads += 1;
         let mut changes = Changes { rows: Vec::new(), sequence: state.sequence };
-        for (version, keys) in state.order.range(since + 1..) {
+        for (version, keys) in state.by_version.range(since + 1..) {
             if changes.rows.len() >= limit {
                 changes.sequence = version - 1;
                 break;
@@ -121,7 +122,7 @@
     }
 }
 
-/// An object store in memory.
+/// An in-memory object store.
 #[derive(Debug, Default)]
 pub struct MemoryObjects {
     objects: Mutex<HashMap<String, Vec<u8>>>,
--- a/crates/platform/src/messages.rs
+++ b/crates/platform/src/messages.rs
@@ -1,4 +1,4 @@
-//! What goes between the table's client and the table.
+//! Messages between the table's client and the table.
 
 use citronrill_base::{Check, Outcome, Row, Txn, Write};
 use prost::Message;
@@ -11,16 +11,16 @@
     pub keys: Vec<String>,
 }
 
-/// A request for what changed.
+/// A request for changed rows.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TableChanges {
-    /// Start of the rows' keys.
+    /// The prefix of the rows' keys.
     #[prost(string, tag = "1")]
     pub prefix: String,
-    /// The sequence that is known.
+    /// The sequence after which changes are requested.
     #[prost(uint64, tag = "2")]
     pub since: u64,
-    /// Rows at most.
+    /// The row limit.
     #[prost(uint64, tag = "3")]
     pub limit: u64,
 }
@@ -31,15 +31,15 @@
     /// The row's key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its version.
+    /// The row's version.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// Its bytes, if it exists.
+    /// The row's contents; absent if the row does not exist.
     #[prost(bytes = "vec", optional, tag = "3")]
     pub body: Option<Vec<u8>>,
 }
 
-/// Rows that were read.
+/// The requested rows.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TableRows {
     /// The rows.
@@ -53,7 +53,7 @@
 /// A transaction.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TableTxn {
-    /// Rows whose versions must hold.
+    /// Rows whose versions must be unchanged.
     #[prost(message, repeated, tag = "1")]
     pub checks: Vec<TableRow>,
     /// Rows to write.
@@ -61,7 +61,7 @@
     pub writes: Vec<TableRow>,
 }
 
-/// What became of a transaction: its sequence, or 0 for a conflict.
+/// The outcome of a transaction: its commit sequence, or 0 for a conflict.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TableOutcome {
     /// The commit sequence.
@@ -83,9 +83,13 @@
 
 impl From<&Txn> for TableTxn {
     fn from(txn: &Txn) -> TableTxn {
-        let check = |it: &Check| TableRow { key: it.key.clone(), version: it.version, body: None };
-        let write =
-            |it: &Write| TableRow { key: it.key.clone(), version: 0, body: it.body.clone() };
+        let check =
+            |check: &Check| TableRow { key: check.key.clone(), version: check.version, body: None };
+        let write = |write: &Write| TableRow {
+            key: write.key.clone(),
+            version: 0,
+            body: write.body.clone(),
+        };
         TableTxn {
             checks: txn.checks.iter().map(check).collect(),
             writes: txn.writes.iter().map(write).collect(),
@@ -95,8 +99,8 @@
 
 impl From<TableTxn> for Txn {
     fn from(txn: TableTxn) -> Txn {
-        let check = |it: TableRow| Check { key: it.key, version: it.version };
-        let write = |it: TableRow| Write { key: it.key, body: it.body };
+        let check = |row: TableRow| Check { key: row.key, version: row.version };
+        let write = |row: TableRow| Write { key: row.key, body: row.body };
         Txn {
             checks: txn.checks.into_iter().map(check).collect(),
             writes: txn.writes.into_iter().map(write).collect(),
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on a byte stream.
+//! Encoding and decoding of frames on a byte stream.
 
 use std::io::{self, Read};
 
@@ -9,31 +9,31 @@
 
 use crate::frames::{Frame, frame::Kind};
 
-/// Bytes of one frame at most: a page of the feed is the largest.
+/// Maximum size of a frame in bytes; the largest frames are pages of the change feed.
 pub const FRAME_LIMIT: usize = 16 << 20;
-/// Bytes read at once.
+/// Size of a single read in bytes.
 const READ_SIZE: usize = 16 << 10;
 
-/// Why a connection between own processes failed.
+/// Why a connection between two processes of the deployment failed.
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The connection broke or timed out.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// The bytes are no frame.
-    #[error("unreadable frame: {0}")]
+    /// The bytes are not a valid frame.
+    #[error("invalid frame: {0}")]
     Decode(#[from] prost::DecodeError),
-    /// A frame without a kind that this release knows.
-    #[error("a frame of unknown kind")]
+    /// A frame of a kind that this release does not know.
+    #[error("frame of unknown kind")]
     UnknownKind,
-    /// The other end closed the connection.
-    #[error("the connection was closed")]
+    /// The peer closed the connection.
+    #[error("connection closed by the peer")]
     Closed,
-    /// The other end does not know the secret, or is not who it says.
-    #[error("the other end failed the handshake")]
-    Stranger,
-    /// A frame that does not fit here.
-    #[error("a frame out of turn")]
+    /// The peer does not know the secret, or its reported role is unknown.
+    #[error("the peer failed the handshake")]
+    Unauthenticated,
+    /// A frame that the protocol does not allow at this point.
+    #[error("unexpected frame")]
     OutOfTurn,
 }
 
@@ -55,43 +55,43 @@
     stream: R,
     codec: LengthDelimitedCodec,
     buffer: BytesMut,
-    bytes: u64,
+    bytes_read: u64,
 }
 
 impl<R: Read> FrameReader<R> {
-    /// A reader of `stream`.
+    /// Creates a reader of `stream`.
     pub fn new(stream: R) -> FrameReader<R> {
-        FrameReader { stream, codec: codec(), buffer: BytesMut::new(), bytes: 0 }
+        FrameReader { stream, codec: codec(), buffer: BytesMut::new(), bytes_read: 0 }
     }
 
-    /// The next frame.
+    /// Reads the next frame.
     ///
     /// # Errors
-    /// The stream failed, ended, or does not hold frames; the connection is of no more use then.
+    /// The stream failed, ended or contains invalid data. The connection cannot be used afterwards.
     pub fn next_frame(&mut self) -> Result<Kind, WireError> {
         loop {
             if let Some(bytes) = self.codec.decode(&mut self.buffer)? {
                 return Frame::decode(bytes)?.kind.ok_or(WireError::UnknownKind);
             }
-            let filled = self.buffer.len();
-            self.buffer.resize(filled + READ_SIZE, 0);
-            let read = self.stream.read(&mut self.buffer[filled..]);
-            self.buffer.truncate(filled + *read.as_ref().unwrap_or(&0));
+            let start = self.buffer.len();
+            self.buffer.resize(start + READ_SIZE, 0);
+            let read = self.stream.read(&mut self.buffer[start..]);
+            self.buffer.truncate(start + *read.as_ref().unwrap_or(&0));
             match read {
                 Ok(0) => return Err(WireError::Closed),
-                Ok(count) => self.bytes += count as u64,
+                Ok(count) => self.bytes_read += count as u64,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
         }
     }
 
-    /// Bytes read so far.
+    /// Returns the number of bytes read so far.
     pub fn bytes(&self) -> u64 {
-        self.bytes
+        self.bytes_read
     }
 
-    /// The stream below.
+    /// Returns the underlying stream.
     pub fn get_ref(&self) -> &R {
         &self.stream
     }
--- a/crates/wire/src/frames.rs
+++ b/crates/wire/src/frames.rs
@@ -1,22 +1,22 @@
-//! The frames.
+//! Messages that a frame can carry.
 //!
-//! The messages are written by hand with `prost`'s derive, so that no generator is needed.
+//! They are written by hand with `prost`'s derive, so that no code generator is needed.
 
 use prost::{Message, Oneof};
 
-/// The first frame of each side of a connection.
+/// The first frame that each end of a connection sends.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Hello {
-    /// Drawn for this connection.
+    /// Random bytes, generated for this connection.
     #[prost(bytes = "vec", tag = "1")]
     pub nonce: Vec<u8>,
-    /// The process's name.
+    /// The name of the process.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Drawn at the start of the process.
+    /// Random number, generated when the process starts.
     #[prost(uint64, tag = "3")]
     pub session: u64,
-    /// 1 for an entry, 2 for a side, 3 for an operator's client.
+    /// The role of the process: 1 entry, 2 side, 3 operator's client.
     #[prost(uint32, tag = "4")]
     pub role: u32,
 }
@@ -24,7 +24,7 @@
 /// Proves that the sender knows the secret.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Proof {
-    /// A keyed hash over both greetings.
+    /// HMAC over both [`Hello`] messages.
     #[prost(bytes = "vec", tag = "1")]
     pub mac: Vec<u8>,
 }
@@ -33,7 +33,7 @@
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Ping {}
 
-/// Shows that the connection lives.
+/// The reply to a [`Ping`]; shows that the connection works.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Pong {
     /// The sender's monotonic clock, in milliseconds.
@@ -44,10 +44,10 @@
 /// One HTTP header.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Header {
-    /// Its name.
+    /// The header name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its value.
+    /// The header value.
     #[prost(string, tag = "2")]
     pub value: String,
 }
@@ -55,13 +55,13 @@
 /// Offers a call to a side.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Call {
-    /// The entry's number for this sending.
+    /// The entry's number for this attempt.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The side process that is meant.
+    /// The session of the addressed side process.
     #[prost(uint64, tag = "2")]
     pub session: u64,
-    /// When it expires, on that process's clock, in milliseconds.
+    /// The deadline on that process's clock, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub expires: u64,
     /// The model's name; empty for a plain service.
@@ -70,97 +70,97 @@
     /// The organisation's name.
     #[prost(string, tag = "5")]
     pub org: String,
-    /// 0 urgent, 1 normal, 2 batch.
+    /// The priority: 0 urgent, 1 normal, 2 batch.
     #[prost(uint32, tag = "6")]
     pub class: u32,
     /// The HTTP method.
     #[prost(string, tag = "7")]
     pub verb: String,
-    /// The path and query at the endpoint.
+    /// The path and query to request from the endpoint.
     #[prost(string, tag = "8")]
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     #[prost(message, repeated, tag = "9")]
     pub headers: Vec<Header>,
-    /// The body, if it is small; else it follows in [`Body`] frames once the call is accepted.
+    /// The body if it is small; a larger one follows in [`Body`] frames once the call is accepted.
     #[prost(bytes = "vec", optional, tag = "10")]
     pub body: Option<Vec<u8>>,
-    /// The body's length, if it is known and follows.
+    /// The length of a body that follows, if known.
     #[prost(uint64, optional, tag = "11")]
     pub length: Option<u64>,
 }
 
-/// The side runs the call.
+/// Accepts a call: the side runs it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Accepted {
-    /// Which.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
 }
 
-/// The side does not run the call and never will.
+/// Declines a call: the side does not run it and will not run it later.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Declined {
-    /// Which.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The reason's number.
+    /// The number of the reason.
     #[prost(uint32, tag = "2")]
     pub why: u32,
-    /// Calls that the side runs.
+    /// Number of calls running on the side.
     #[prost(uint32, tag = "3")]
     pub load: u32,
 }
 
-/// A part of a request's body.
+/// A part of a request body.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Body {
-    /// Which call.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Counts the parts from 0.
+    /// Index of the part, from 0.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
     /// The bytes.
     #[prost(bytes = "bytes", tag = "3")]
     pub data: bytes::Bytes,
-    /// Whether it is the last.
+    /// Whether this is the last part.
     #[prost(bool, tag = "4")]
     pub last: bool,
 }
 
-/// The endpoint has taken parts of the body.
+/// Acknowledges parts of a request body that the endpoint has received.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct BodyAck {
-    /// Which call.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Parts taken.
+    /// Number of parts received.
     #[prost(uint64, tag = "2")]
     pub taken: u64,
 }
 
-/// The head of an answer; part 0 of its stream.
+/// Status and headers of a response; part 0 of its stream.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Head {
-    /// Which call.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The HTTP status.
     #[prost(uint32, tag = "2")]
     pub status: u32,
-    /// Headers to pass on.
+    /// Headers to forward.
     #[prost(message, repeated, tag = "3")]
     pub headers: Vec<Header>,
 }
 
-/// A part of an answer.
+/// A part of a response body.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Part {
-    /// Which call.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Counts the parts; the head is 0.
+    /// Index of the part; the head has index 0.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
     /// The bytes.
@@ -168,182 +168,182 @@
     pub data: bytes::Bytes,
 }
 
-/// The entry has taken parts of the answer.
+/// Acknowledges parts of a response that the entry has received.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PartAck {
-    /// Which call.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The part up to which all were taken.
+    /// Index of the part up to which all have been received.
     #[prost(uint64, tag = "2")]
     pub taken: u64,
 }
 
-/// The definite end of an answer.
+/// The final end of a response.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct End {
-    /// Which call.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The end's own place in the stream.
+    /// Index of this frame in the stream.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// Whether the endpoint's answer was whole.
+    /// Whether the endpoint's response was complete.
     #[prost(bool, tag = "3")]
     pub whole: bool,
-    /// Calls that the side runs.
+    /// Number of calls running on the side.
     #[prost(uint32, tag = "4")]
     pub load: u32,
 }
 
-/// Cancels a call, whether it has come or not.
+/// Cancels a call, even if the call has not arrived yet.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Cancel {
-    /// Which.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// When it expires, on the side's clock.
+    /// The call's deadline on the side's clock, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub expires: u64,
-    /// The side process that is meant.
+    /// The session of the addressed side process.
     #[prost(uint64, tag = "3")]
     pub session: u64,
 }
 
-/// What became of a cancelled call.
+/// The outcome of a cancellation.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Cancelled {
-    /// Which.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// 0 it did not run and will not, 1 it had begun, 2 unknown.
+    /// 0 the call did not run and will not, 1 it had started, 2 unknown.
     #[prost(uint32, tag = "2")]
     pub answer: u32,
 }
 
-/// Asks on a fresh connection what became of a call, and for the rest of its answer.
+/// Asks on a new connection for the status of a call and for the rest of its response.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Resume {
-    /// Which.
+    /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The first part that is missing.
+    /// Index of the first missing part.
     #[prost(uint64, tag = "2")]
     pub next: u64,
-    /// When the call expires, on the side's clock.
+    /// The call's deadline on the side's clock, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub expires: u64,
-    /// The side process that was sent the call.
+    /// The session of the side process to which the call was sent.
     #[prost(uint64, tag = "4")]
     pub session: u64,
 }
 
-/// Tells a model's home of requests.
+/// Reports requests for a model to its coordinator.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Demand {
     /// The model's name.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// Requests that wait; 0 for a report of use.
+    /// Number of waiting requests; 0 if the message only reports use of the model.
     #[prost(uint64, tag = "2")]
     pub waiting: u64,
-    /// Milliseconds until the first deadline.
+    /// Milliseconds until the earliest deadline.
     #[prost(uint64, tag = "3")]
     pub slack_ms: u64,
-    /// 0 urgent, 1 normal, 2 batch.
+    /// The priority: 0 urgent, 1 normal, 2 batch.
     #[prost(uint32, tag = "4")]
     pub class: u32,
-    /// The entry's address.
+    /// The address of the sending entry.
     #[prost(string, tag = "5")]
     pub from: String,
 }
 
-/// What a model's home says to a demand.
+/// The coordinator's reply to a [`Demand`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Verdict {
     /// The model's name.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// 0 the share is used, 1 the pool is full, 2 the model was removed, 3 the demand was heard and
-    /// is being decided on.
+    /// 0 the organisation's share is used up, 1 the pool is full, 2 the model was removed, 3 the
+    /// demand was received and its decision is pending.
     #[prost(uint32, tag = "2")]
     pub kind: u32,
 }
 
-/// The side's row has changed.
+/// Notifies a side that its row has changed.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Poke {
-    /// The entry's address, to which the side's new row is handed.
+    /// The address of the entry, to which the side sends its new row.
     #[prost(string, tag = "1")]
     pub from: String,
 }
 
-/// Asks for rows of the feed.
+/// Requests rows of the change feed.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct FeedPull {
-    /// Names the question.
+    /// The id of the request.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The sequence that is known.
+    /// The sequence up to which the requester knows the feed.
     #[prost(uint64, tag = "2")]
     pub since: u64,
 }
 
-/// A row of the feed.
+/// A row of the change feed.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct FeedRow {
     /// The row's key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its version.
+    /// The row's version.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// Its bytes, if it exists.
+    /// The row's contents; absent if the row does not exist.
     #[prost(bytes = "vec", optional, tag = "3")]
     pub body: Option<Vec<u8>>,
 }
 
-/// Rows of the feed.
+/// Rows of the change feed: the reply to a [`FeedPull`], or a notification that was not requested.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct FeedRows {
-    /// The question.
+    /// The id of the request; 0 for a notification.
     #[prost(uint64, tag = "1")]
     pub id: u64,
     /// The rows.
     #[prost(message, repeated, tag = "2")]
     pub rows: Vec<FeedRow>,
-    /// The sequence up to which they are complete.
+    /// The sequence up to which the rows are complete.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// Milliseconds since the table confirmed it.
+    /// Milliseconds since the platform table confirmed this sequence.
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
 }
 
-/// Asks for the whole text.
+/// Requests the whole configuration.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TextPull {
-    /// The version that is wanted.
+    /// The requested version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
 }
 
-/// The whole text, if the sender has the version.
+/// The whole configuration, if the sender has the requested version.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TextReply {
-    /// The version.
+    /// The requested version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// The text; absent if the sender has another version.
+    /// The configuration; absent if the sender has a different version.
     #[prost(string, optional, tag = "2")]
     pub text: Option<String>,
 }
 
-/// Asks for the process's state.
+/// Requests a dump of the process state.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Dump {}
 
-/// The process's state.
+/// The reply to a [`Dump`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct DumpReply {
     /// The state as JSON.
@@ -354,7 +354,7 @@
 /// One frame.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Frame {
-    /// What it is.
+    /// The message.
     #[prost(
         oneof = "frame::Kind",
         tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25"
@@ -364,11 +364,11 @@
 
 macro_rules! kinds {
     ($($(#[$meta:meta])* $name:ident = $tag:literal,)*) => {
-        /// The kinds of frames.
+        /// The kinds of frame.
         pub mod frame {
             use super::Oneof;
 
-            /// What a frame is.
+            /// The message of a frame.
             #[derive(Clone, PartialEq, Eq, Oneof)]
             pub enum Kind {
                 $(
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,8 +1,8 @@
-//! Two processes prove to each other that they know the deployment's secret.
+//! Mutual authentication of two processes with the deployment's shared secret.
 //!
-//! Without it, whoever reaches the port could order calls, read streams or feed rows. Each end
-//! sends a nonce and then a keyed hash over both greetings and its own direction, so that neither a
-//! recorded proof nor the other end's own one can be sent back.
+//! Without it, anyone who can connect to the port could submit calls, read streams or inject rows.
+//! Each end sends a nonce and then an HMAC over both [`Hello`] messages and its own direction. The
+//! nonces prevent replay of a recorded proof, the direction prevents reflection of an end's own proof.
 
 use std::io::{Read, Write};
 
@@ -18,10 +18,10 @@
 };
 
 const NONCE_SIZE: usize = 16;
-/// The smallest proof that is taken: the whole keyed hash.
+/// Size of a proof: a full SHA-256 HMAC; truncated ones are rejected.
 const MAC_SIZE: usize = 32;
 
-/// What kind of process is at an end.
+/// The role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerRole {
     /// An entry.
@@ -48,25 +48,25 @@
     }
 }
 
-/// Who this process is.
+/// The identity of the local process.
 #[derive(Debug, Clone)]
 pub struct Identity {
     /// The instance's name.
     pub name: String,
-    /// Drawn at the start of the process.
+    /// Random number, generated when the process starts.
     pub session: u64,
-    /// What it is.
+    /// The role of the process.
     pub role: PeerRole,
 }
 
-/// Who is at the other end.
+/// The authenticated process at the other end of a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// The instance's name.
     pub name: String,
-    /// Drawn at the start of its process.
+    /// Random number, generated when the process starts.
     pub session: u64,
-    /// What it is.
+    /// The role of the process.
     pub role: PeerRole,
 }
 
@@ -74,51 +74,52 @@
 #[derive(Debug)]
 pub struct Handshake<'a> {
     secret: &'a str,
-    own: Hello,
-    opener: bool,
+    local: Hello,
+    initiator: bool,
 }
 
 impl<'a> Handshake<'a> {
-    /// The end of the process that opened the connection, or of the one that accepted it.
-    pub fn new(secret: &'a str, identity: &Identity, opener: bool) -> Handshake<'a> {
+    /// Creates the local end of a handshake; `initiator` says whether this process opened the connection.
+    pub fn new(secret: &'a str, identity: &Identity, initiator: bool) -> Handshake<'a> {
         let mut nonce = vec![0; NONCE_SIZE];
         rand::rng().fill(nonce.as_mut_slice());
-        let own = Hello {
+        let local = Hello {
             nonce,
             name: identity.name.clone(),
             session: identity.session,
             role: identity.role.number(),
         };
-        Handshake { secret, own, opener }
+        Handshake { secret, local, initiator }
     }
 
-    /// Carries the handshake out.
+    /// Runs the handshake and returns the authenticated peer.
     ///
     /// # Errors
-    /// [`WireError::Stranger`] if the other end does not know the secret.
+    /// [`WireError::Unauthenticated`] if the peer does not know the secret or reports an unknown role.
     pub fn run<R: Read>(
         &self,
         reader: &mut FrameReader<R>,
         writer: &mut impl Write,
     ) -> Result<Peer, WireError> {
-        send(writer, self.own.clone().into())?;
-        let Kind::Hello(theirs) = reader.next_frame()? else { return Err(WireError::OutOfTurn) };
-        let mac = self.mac(&theirs, self.opener).finalize().into_bytes().to_vec();
+        send(writer, self.local.clone().into())?;
+        let Kind::Hello(remote) = reader.next_frame()? else { return Err(WireError::OutOfTurn) };
+        let mac = self.mac(&remote, self.initiator).finalize().into_bytes().to_vec();
         send(writer, Proof { mac }.into())?;
         let Kind::Proof(proof) = reader.next_frame()? else { return Err(WireError::OutOfTurn) };
-        let expected = self.mac(&theirs, !self.opener);
+        let expected = self.mac(&remote, !self.initiator);
         if proof.mac.len() != MAC_SIZE || expected.verify_slice(&proof.mac).is_err() {
-            return Err(WireError::Stranger);
+            return Err(WireError::Unauthenticated);
         }
-        let role = PeerRole::from_number(theirs.role).ok_or(WireError::Stranger)?;
-        Ok(Peer { name: theirs.name, session: theirs.session, role })
+        let role = PeerRole::from_number(remote.role).ok_or(WireError::Unauthenticated)?;
+        Ok(Peer { name: remote.name, session: remote.session, role })
     }
 
-    /// The keyed hash that the opener or the accepter has to send.
-    fn mac(&self, theirs: &Hello, by_opener: bool) -> Hmac<Sha256> {
-        let (first, second) = if self.opener { (&self.own, theirs) } else { (theirs, &self.own) };
+    /// Returns the HMAC that the initiator or the acceptor has to send.
+    fn mac(&self, remote: &Hello, from_initiator: bool) -> Hmac<Sha256> {
+        let (first, second) =
+            if self.initiator { (&self.local, remote) } else { (remote, &self.local) };
         let mut mac = new_mac(self.secret);
-        mac.update(&[u8::from(by_opener)]);
+        mac.update(&[u8::from(from_initiator)]);
         mac.update(&first.encode_length_delimited_to_vec());
         mac.update(&second.encode_length_delimited_to_vec());
         mac
@@ -126,7 +127,7 @@
 }
 
 fn new_mac(secret: &str) -> Hmac<Sha256> {
-    Hmac::new_from_slice(secret.as_bytes()).expect("HMAC takes keys of every length")
+    Hmac::new_from_slice(secret.as_bytes()).expect("HMAC accepts keys of any length")
 }
 
 fn send(writer: &mut impl Write, frame: Frame) -> Result<(), WireError> {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages between citronrill's own processes.
+//! Messages between the processes of a citronrill deployment.
 //!
 //! Frames are length-delimited `prost` messages over TCP. The codec works on a buffer and needs no
-//! runtime, so that blocking threads use it. Two processes prove to each other that they know the
-//! deployment's secret before either takes any other frame.
+//! async runtime, so that blocking threads can use it. Two processes authenticate each other with the
+//! deployment's shared secret before either accepts any other frame.
 
 mod codec;
 mod frames;
--- a/crates/wire/src/pool.rs
+++ b/crates/wire/src/pool.rs
@@ -1,161 +1,162 @@
-//! Messages between the pool's entries and sides.
+//! Messages between the entries and sides of a pool.
 
 use prost::{Message, Oneof};
 
-/// One message on a connection from an entry to a side.
+/// One message on a connection between an entry and a side, or between two entries.
 #[derive(Clone, PartialEq, Message)]
 pub struct PoolFrame {
-    /// What it says.
+    /// The message.
     #[prost(oneof = "PoolKind", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11")]
     pub kind: Option<PoolKind>,
 }
 
-/// What a [`PoolFrame`] says.
+/// The messages that a [`PoolFrame`] can carry.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PoolKind {
-    /// An entry asks for a model or adapter.
+    /// An entry asks a side to load a model or adapter.
     #[prost(message, tag = "2")]
     Want(Want),
-    /// An entry tells of a request that it has sent to the endpoint, or that found no room anywhere.
+    /// An entry reports a request that it sent to the endpoint, or for which no replica had room.
     #[prost(message, tag = "3")]
     Used(Usage),
-    /// A side tells what its endpoint holds and does.
+    /// A side reports the state of its endpoint.
     #[prost(message, tag = "4")]
     State(SideState),
-    /// An entry tells which text it has.
+    /// An entry reports the configuration version that it has.
     #[prost(message, tag = "6")]
     Version(TextVersion),
-    /// A side will not fetch what the entry asked for.
+    /// A side declines a load request.
     #[prost(message, tag = "5")]
     Declined(ModelName),
-    /// An entry tells another what it believes.
+    /// An entry sends its known state to another entry.
     #[prost(message, tag = "7")]
     Snapshot(Snapshot),
-    /// Asks for a piece of the operators' text, in either direction.
+    /// Requests a chunk of the operators' configuration, in either direction.
     #[prost(message, tag = "8")]
     TextAsk(TextAsk),
-    /// Answers it.
+    /// Answers the request with a chunk.
     #[prost(message, tag = "9")]
     TextPart(TextPart),
-    /// An entry asks a side for a sign of life.
+    /// An entry's liveness probe of a side.
     #[prost(message, tag = "10")]
     Probe(Probe),
-    /// A side gives it.
+    /// A side's reply to the probe.
     #[prost(message, tag = "11")]
     Alive(Alive),
 }
 
-/// Asks for a sign of life.
+/// A liveness probe.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Probe {}
 
-/// A sign of life: the process runs, and so does its instance.
+/// The reply to a liveness probe: shows that the process and its instance are running.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Alive {}
 
-/// What an entry believes of the text and of the list of endpoints.
+/// An entry's known state of the configuration and of the member list.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Snapshot {
-    /// The version of the text, which is asked for on the same connection; 0 for none.
+    /// The configuration version; 0 for none. The receiver requests its contents on the same connection.
     #[prost(uint64, tag = "4")]
     pub text: u64,
-    /// The version of the list.
+    /// The version of the member list.
     #[prost(uint64, tag = "2")]
     pub list: u64,
-    /// The list's entries.
+    /// The members.
     #[prost(message, repeated, tag = "3")]
     pub members: Vec<MemberRow>,
 }
 
-/// One entry of the list of endpoints.
+/// One row of the member list.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct MemberRow {
     /// The instance's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The entry, encoded as the platform keeps it.
+    /// The row, encoded as in the platform store.
     #[prost(bytes = "vec", tag = "2")]
     pub bytes: Vec<u8>,
 }
 
-/// The operators' text as the platform keeps it; it crosses connections in pieces.
+/// The operators' configuration as encoded in the platform store; it is transferred in chunks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TextCopy {
-    /// The text's version.
+    /// The configuration version.
     pub version: u64,
-    /// The text, encoded as the platform keeps it.
+    /// The configuration, encoded as in the platform store.
     pub bytes: Vec<u8>,
 }
 
-/// Asks for a piece of a text.
+/// Requests a chunk of a configuration.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TextAsk {
-    /// The version that is meant.
+    /// The requested version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Bytes of it that the sender has.
+    /// Bytes of this version that the sender already has.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
 }
 
-/// A piece of a text.
+/// A chunk of a configuration.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TextPart {
-    /// The text's version; the beginning of this one where another was asked for.
+    /// The configuration version. If the sender has a different version from the requested one, the chunk
+    /// is the beginning of the sender's version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Bytes before this piece.
+    /// The chunk's offset in bytes.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// Bytes of the whole text.
+    /// The size of the whole configuration in bytes.
     #[prost(uint64, tag = "3")]
     pub total: u64,
-    /// The piece; empty if the sender cannot serve now.
+    /// The chunk; empty if the sender cannot serve it at present.
     #[prost(bytes = "vec", tag = "4")]
     pub bytes: Vec<u8>,
 }
 
-/// Which text the sender has.
+/// The configuration version that the sender has.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TextVersion {
-    /// The text's version; 0 for none.
+    /// The configuration version; 0 for none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
 }
 
-/// Asks for a model, or for an adapter of one.
+/// Asks a side to load a model, or an adapter of one.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Want {
-    /// The instance that is meant; another start of the endpoint takes no order for it.
+    /// The addressed instance; other incarnations of the endpoint ignore the request.
     #[prost(string, tag = "1")]
     pub instance: String,
     /// The model's name.
     #[prost(string, tag = "2")]
     pub model: String,
-    /// The adapter's own name; empty where the model itself is wanted.
+    /// The adapter's own name; empty if the request is for the model itself.
     #[prost(string, tag = "3")]
     pub adapter: String,
-    /// Models that may make way, the least needed first.
+    /// Models that may be evicted, the least needed first.
     #[prost(string, repeated, tag = "4")]
     pub victims: Vec<String>,
-    /// Engines that share the weight store.
+    /// Number of engines that share the weight store.
     #[prost(uint32, tag = "5")]
     pub fleet: u32,
-    /// Milliseconds for which the sender has use for it.
+    /// Milliseconds until the request expires.
     #[prost(uint64, tag = "6")]
     pub ttl_ms: u64,
-    /// Requests that wait for it; 0 for a load ahead of demand.
+    /// Requests that are waiting for the model or adapter; 0 for a preload.
     #[prost(uint32, tag = "7")]
     pub waiting: u32,
-    /// When the start that is meant began, in Unix milliseconds by the endpoint's clock, if known.
+    /// Start time of the addressed incarnation, in Unix milliseconds by the endpoint's clock, if known.
     #[prost(uint64, optional, tag = "8")]
     pub started: Option<u64>,
-    /// Loads from the weight store, this one with them, if it is one.
+    /// Loads from the weight store, including this one; 0 if this load is not from the weight store.
     #[prost(uint32, tag = "9")]
     pub store_loads: u32,
 }
 
-/// Names a model, or an adapter of one.
+/// The name of a model, or of an adapter of one.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ModelName {
     /// The model's name.
@@ -166,7 +167,7 @@
     pub adapter: String,
 }
 
-/// A request for a model, or for an adapter of one.
+/// Reports a request for a model, or for an adapter of one.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Usage {
     /// The model's name.
@@ -175,110 +176,110 @@
     /// The adapter's own name, or empty.
     #[prost(string, tag = "2")]
     pub adapter: String,
-    /// Whether it was not sent to the endpoint but found no replica with room: one side counts all such
-    /// requests for a model, whichever entry they came to.
+    /// Whether the request was a miss: no replica had room, so it was not sent to the endpoint. One side
+    /// counts all misses of a model, over all entries.
     #[prost(bool, tag = "3")]
     pub missed: bool,
 }
 
-/// How often a model is asked for.
+/// The request rate of a model.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ModelRate {
     /// The model's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Requests a second lately, in thousandths.
+    /// Recent requests per second, in thousandths.
     #[prost(uint32, tag = "2")]
     pub rate_milli: u32,
 }
 
-/// What an endpoint holds and does, as its side knows it.
+/// The state of an endpoint, as known to its side.
 #[derive(Clone, PartialEq, Message)]
 pub struct SideState {
-    /// Orders that the endpoint has accepted; tells which of two beliefs is newer.
+    /// Number of orders that the endpoint has accepted; of two reports the one with more is newer.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// The models that it holds.
+    /// The loaded models.
     #[prost(message, repeated, tag = "2")]
     pub models: Vec<ModelState>,
-    /// Models with a copy in the instance's memory.
+    /// Models with weights cached in the instance's RAM.
     #[prost(string, repeated, tag = "3")]
     pub in_memory: Vec<String>,
-    /// Models with a copy on the instance's disk.
+    /// Models with weights cached on the instance's disk.
     #[prost(string, repeated, tag = "4")]
     pub on_disk: Vec<String>,
-    /// What is being loaded, or waits for it: `model` or `model/adapter`.
+    /// Loads in progress or queued: `model` or `model/adapter`.
     #[prost(string, repeated, tag = "5")]
     pub loading: Vec<String>,
-    /// Models that make way, or will for something under `loading`.
+    /// Models that are being evicted, or will be for a load under `loading`.
     #[prost(string, repeated, tag = "6")]
     pub leaving: Vec<String>,
-    /// Requests that run.
+    /// Running requests.
     #[prost(uint32, tag = "7")]
     pub active: u32,
-    /// Requests that wait at the endpoint.
+    /// Requests queued at the endpoint.
     #[prost(uint32, tag = "8")]
     pub queued: u32,
-    /// Memory for prompts in use, in thousandths.
+    /// Share of the KV cache in use, in thousandths.
     #[prost(uint32, tag = "9")]
     pub kv_share: u32,
-    /// Entries that are connected to this side.
+    /// Number of entries connected to this side.
     #[prost(uint32, tag = "10")]
     pub entries: u32,
-    /// Whether the endpoint answered when last asked.
+    /// Whether the endpoint answered its side's recent status requests.
     #[prost(bool, tag = "11")]
     pub sound: bool,
-    /// Milliseconds until all under `loading` is there, as far as can be told.
+    /// Estimated milliseconds until all loads under `loading` have completed.
     #[prost(uint64, tag = "12")]
     pub busy_ms: u64,
-    /// Loads from the weight store under `loading`.
+    /// Number of loads under `loading` that are from the weight store.
     #[prost(uint32, tag = "13")]
     pub store_loads: u32,
-    /// How long the last load from the weight store took, in thousandths of its usual time; 0 if
+    /// Duration of the last load from the weight store, in thousandths of its usual time; 0 if
     /// there was none.
     #[prost(uint32, tag = "14")]
     pub store_slow: u32,
-    /// The version of the text that the side has; 0 for none.
+    /// The configuration version that the side has; 0 for none.
     #[prost(uint64, tag = "16")]
     pub text: u64,
-    /// The name of the endpoint's present start, or empty if the side has not learned it.
+    /// The name of the endpoint's current incarnation, or empty if the side does not know it.
     #[prost(string, tag = "15")]
     pub instance: String,
-    /// Milliseconds until the order under way has ended, as far as can be told; 0 if there is none.
+    /// Estimated milliseconds until the current order has completed; 0 if there is none.
     #[prost(uint64, tag = "18")]
     pub order_ms: u64,
     /// The service that the endpoint belongs to.
     #[prost(string, tag = "17")]
     pub service: String,
-    /// When the present start began, in Unix milliseconds by the endpoint's clock, if it says.
+    /// Start time of the current incarnation, in Unix milliseconds by the endpoint's clock, if reported.
     #[prost(uint64, optional, tag = "19")]
     pub started: Option<u64>,
-    /// The models whose requests find no room anywhere, of those that this side counts.
+    /// Miss rates of the models whose misses this side counts.
     #[prost(message, repeated, tag = "20")]
     pub missed: Vec<ModelRate>,
-    /// How long the load from the weight store under way has taken, in thousandths of its usual time; 0 while
-    /// it may still end in that.
+    /// Time spent so far on the current load from the weight store, in thousandths of its usual time; 0 while
+    /// the load is not overdue.
     #[prost(uint32, tag = "21")]
     pub store_overdue: u32,
-    /// How many loads from the weight store there were when that one was asked for, itself with them: the late
-    /// one under way, or else the last one.
+    /// Concurrent loads from the weight store when the overdue load was requested, including itself. Without an
+    /// overdue load, the same for the last load.
     #[prost(uint32, tag = "22")]
     pub store_concurrent: u32,
 }
 
-/// One model that an endpoint holds.
+/// One loaded model of an endpoint.
 #[derive(Clone, PartialEq, Message)]
 pub struct ModelState {
     /// The model's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its adapters, by their own names.
+    /// The own names of its loaded adapters.
     #[prost(string, repeated, tag = "2")]
     pub adapters: Vec<String>,
-    /// Requests a second lately, in thousandths.
+    /// Recent requests per second, in thousandths.
     #[prost(uint32, tag = "3")]
     pub rate_milli: u32,
-    /// Whether it cannot make way now: it has just come for somebody, or is about to be used.
+    /// Whether it must not be evicted now: it was just loaded for a request, or is about to be used.
     #[prost(bool, tag = "4")]
     pub fixed: bool,
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames from strangers and frames in pieces.
+//! Invalid and fragmented frames, and peers without the secret.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
@@ -14,17 +14,17 @@
 };
 use proptest::prelude::*;
 
-/// Gives its bytes in pieces of a few each.
-struct Pieces<'a> {
+/// A reader that returns at most `size` bytes per read.
+struct Fragments<'a> {
     bytes: &'a [u8],
     size: usize,
 }
 
-impl Read for Pieces<'_> {
+impl Read for Fragments<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let count = self.size.min(self.bytes.len()).min(buffer.len());
-        let (now, rest) = self.bytes.split_at(count);
-        buffer[..count].copy_from_slice(now);
+        let (read, rest) = self.bytes.split_at(count);
+        buffer[..count].copy_from_slice(read);
         self.bytes = rest;
         Ok(count)
     }
@@ -41,9 +41,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever a stranger sends, the reader gives frames or an error, and never hangs or panics.
+    /// Arbitrary input, as from an unauthenticated peer, must end in an error; the reader must not hang or panic.
     #[test]
-    fn any_bytes_end_in_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_input_ends_in_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut reader = FrameReader::new(bytes.as_slice());
         let mut frames = 0;
         while reader.next_frame().is_ok() {
@@ -52,9 +52,9 @@
         }
     }
 
-    /// Frames come out as they went in, however the network cuts them.
+    /// Frames must decode unchanged, however the network fragments them.
     #[test]
-    fn frames_survive_any_cutting(
+    fn frames_survive_fragmentation(
         parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 1..8),
         size in 1_usize..40,
     ) {
@@ -63,31 +63,31 @@
             let body = Body { number: 3, sequence: sequence as u64, data: part.clone().into(), last: false };
             encode(&Frame::from(body), &mut buffer).unwrap();
         }
-        let mut reader = FrameReader::new(Pieces { bytes: &buffer, size });
+        let mut reader = FrameReader::new(Fragments { bytes: &buffer, size });
         for part in &parts {
-            let Kind::Body(body) = reader.next_frame().unwrap() else { panic!("another frame") };
+            let Kind::Body(body) = reader.next_frame().unwrap() else { panic!("not a body frame") };
             prop_assert_eq!(body.data.as_ref(), part.as_slice());
         }
         prop_assert!(matches!(reader.next_frame(), Err(WireError::Closed)));
     }
 }
 
-fn greet(secret: &'static str, other: &'static str) -> (bool, bool) {
+fn handshake(secret: &'static str, peer_secret: &'static str) -> (bool, bool) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let end = |stream: TcpStream, secret: &str, opener| {
+    let run = |stream: TcpStream, secret: &str, initiator| {
         let identity = Identity { name: "n".to_owned(), session: 1, role: PeerRole::Entry };
         let mut reader = FrameReader::new(stream.try_clone().unwrap());
-        Handshake::new(secret, &identity, opener).run(&mut reader, &mut &stream).is_ok()
+        Handshake::new(secret, &identity, initiator).run(&mut reader, &mut &stream).is_ok()
     };
-    let accepter = thread::spawn(move || end(listener.accept().unwrap().0, other, false));
-    let opened = end(TcpStream::connect(address).unwrap(), secret, true);
-    (opened, accepter.join().unwrap())
+    let acceptor = thread::spawn(move || run(listener.accept().unwrap().0, peer_secret, false));
+    let initiated = run(TcpStream::connect(address).unwrap(), secret, true);
+    (initiated, acceptor.join().unwrap())
 }
 
-/// A stranger who reaches the port must not be able to order a load or read a stream.
+/// A peer without the secret must not be able to order a load or read a stream.
 #[test]
-fn only_who_knows_the_secret_is_let_in() {
-    assert_eq!(greet("secret", "secret"), (true, true));
-    assert_eq!(greet("guess", "secret"), (false, false));
+fn handshake_requires_the_shared_secret() {
+    assert_eq!(handshake("secret", "secret"), (true, true));
+    assert_eq!(handshake("guess", "secret"), (false, false));
 }
