--- a/crates/pool/src/entry/clock.rs
+++ b/crates/pool/src/entry/clock.rs
@@ -1,50 +1,50 @@
-//! What time brings: requests that are over, endpoints that are silent, and what waits.
+//! Timers: deadlines, silent endpoints and queued requests.
 
 use citronrill_base::Set;
 
-use super::{Choice, EntryEffect, LAST_CALL_MS, PoolEntry, Reason, Request, RequestId, Stage};
+use super::{Choice, EntryEffect, MIN_REMAINING_MS, PoolEntry, Reason, Request, RequestId, Stage};
 
-/// Latency objectives without a first byte after which a request is moved: at two, what another
-/// endpoint answers in its usual time still comes within three.
-const SILENT_TARGETS: u64 = 2;
-/// Milliseconds below which a silence is no sign of anything.
-const SILENT_MIN_MS: u64 = 400;
+/// Time to first byte, in latency objectives, above which a request is retried elsewhere. At two, a
+/// response in the other endpoint's usual time still arrives within three.
+const UNANSWERED_TARGETS: u64 = 2;
+/// Lower bound on that time, in milliseconds: shorter delays are normal.
+const UNANSWERED_MIN_MS: u64 = 400;
 
 impl PoolEntry {
-    /// Ends what has run out of time, and has requests leave endpoints that are silent.
-    pub(super) fn look(&mut self) {
-        self.excuse_pause();
-        self.ticked = self.now;
-        self.end_overdue();
-        self.end_impatient();
-        self.end_stopped();
-        self.note_stalls();
-        self.watch();
-        self.leave_silent();
-        self.move_silent();
+    /// Ends requests past their deadlines, and fails over requests from silent endpoints.
+    pub(super) fn check_deadlines(&mut self) {
+        self.exclude_pause();
+        self.last_check = self.now;
+        self.end_expired();
+        self.refuse_before_disconnect();
+        self.refuse_on_stop();
+        self.record_stalls();
+        self.probe_sides();
+        self.fail_over_stalled();
+        self.fail_over_unanswered();
     }
 
-    /// Does the same, and looks again at what waits and at what endpoints hold.
+    /// Runs the same checks, then retries waiting requests and reviews the placement of models.
     pub(super) fn tick(&mut self) {
-        self.look();
-        self.end_overlong();
-        self.expire_wants();
+        self.check_deadlines();
+        self.refuse_long_waits();
+        self.expire_load_requests();
         let listed = self.pool.settle_starts(&mut self.names, self.now);
-        self.note_listed(listed);
-        self.retry_waiting();
-        self.spread();
-        self.fetch_missed();
-        self.restock();
+        self.handle_membership(listed);
+        self.schedule_waiting();
+        self.add_replicas();
+        self.load_missed();
+        self.preload_scarce();
     }
 
-    fn end_overdue(&mut self) {
-        let over = self.requests.iter().filter(|(_, request)| self.now >= request.ends);
+    fn end_expired(&mut self) {
+        let over = self.requests.iter().filter(|(_, request)| self.now >= request.deadline);
         let over = over.map(|(id, request)| (*id, request.stage, request.runs));
         for (id, stage, runs) in over.collect::<Vec<_>>() {
             match stage {
                 Stage::Waiting if runs == 0 => self.refuse(id, Reason::Expired),
                 Stage::Waiting | Stage::Sent => self.refuse(id, Reason::TimedOut),
-                Stage::Passing => {
+                Stage::Responding => {
                     self.effects.push(EntryEffect::Cut(id));
                     self.finish(id, false);
                 }
@@ -52,124 +52,138 @@
         }
     }
 
-    /// Refuses what has waited for as long as its caller stays.
+    /// Refuses waiting requests whose callers are about to disconnect.
     ///
-    /// A caller of a stream leaves after some seconds without an event, long before its deadline. Held
-    /// until then it gets nothing; told when to come back, it is served once the model is there.
-    fn end_impatient(&mut self) {
-        let waiting = self.requests.iter().filter(|(_, one)| one.stage == Stage::Waiting);
-        let over = waiting.filter(|(_, one)| one.runs == 0 && one.wait_ms(self.now) < LAST_CALL_MS);
-        let over = over.map(|(id, one)| (*id, one.late_reason(self.now)));
+    /// A caller of a stream disconnects after some seconds without an event, long before its
+    /// deadline. A request held until then gets no response; refused with a retry time, it is
+    /// served once the model is ready.
+    fn refuse_before_disconnect(&mut self) {
+        let waiting = self.requests.iter().filter(|(_, request)| request.stage == Stage::Waiting);
+        let over = waiting.filter(|(_, request)| {
+            request.runs == 0 && request.wait_ms(self.now) < MIN_REMAINING_MS
+        });
+        let over = over.map(|(id, request)| (*id, request.late_reason(self.now)));
         for (id, reason) in over.collect::<Vec<_>>() {
             self.refuse(id, reason);
         }
     }
 
-    /// Notes for each endpoint how long its oldest sending has had no answer.
+    /// Records for each endpoint how long its oldest dispatched request has had no response.
     ///
-    /// An endpoint that hangs answers nothing, so no answer tells of it; what waits there does.
-    fn note_stalls(&mut self) {
+    /// An endpoint that hangs sends no responses, so its time to first byte can only be estimated
+    /// from the requests that wait there.
+    fn record_stalls(&mut self) {
         self.pool.endpoints.values_mut().for_each(|endpoint| endpoint.stall = 0);
-        for request in self.requests.values().filter(|one| one.stage == Stage::Sent) {
-            let endpoint = request.at.as_ref().and_then(|at| self.pool.endpoints.get_mut(at));
+        for request in self.requests.values().filter(|request| request.stage == Stage::Sent) {
+            let endpoint = request
+                .instance
+                .as_ref()
+                .and_then(|instance| self.pool.endpoints.get_mut(instance));
             if let Some(endpoint) = endpoint {
                 endpoint.stall = endpoint.stall.max(self.now.since(request.sent));
             }
         }
     }
 
-    /// Sends elsewhere what an endpoint has not begun to answer for long.
+    /// Retries requests elsewhere that an endpoint has not begun to answer for a long time.
     ///
-    /// The failure it answers: an endpoint hangs, or its instance has lost power, and nothing closes
-    /// the connection for seconds. Only what may run again is moved, within the retry budget, and
-    /// the first sending is cancelled.
-    fn move_silent(&mut self) {
-        let silent = self.requests.iter().filter(|(_, one)| {
-            let patience = (SILENT_TARGETS * one.target_ms).max(SILENT_MIN_MS);
-            one.stage == Stage::Sent
-                && one.repeat.may_rerun()
-                && one.runs + 1 < one.attempts
-                && self.now.since(one.sent) > patience
+    /// When an endpoint hangs, or its instance has lost power, nothing closes the connection for
+    /// seconds. Only requests that may run again are retried, within the retry budget, and the
+    /// first dispatch is cancelled.
+    fn fail_over_unanswered(&mut self) {
+        let unanswered = self.requests.iter().filter(|(_, request)| {
+            let limit_ms = (UNANSWERED_TARGETS * request.target_ms).max(UNANSWERED_MIN_MS);
+            request.stage == Stage::Sent
+                && request.repeat.may_rerun()
+                && request.runs + 1 < request.max_attempts
+                && self.now.since(request.sent) > limit_ms
         });
-        for id in silent.map(|(id, _)| *id).collect::<Vec<_>>() {
+        for id in unanswered.map(|(id, _)| *id).collect::<Vec<_>>() {
             let Some(request) = self.requests.get(&id) else { continue };
-            if self.has_room_elsewhere(request) && self.pay(id) {
-                self.send_elsewhere(id);
+            if self.has_room_elsewhere(request) && self.charge_retry(id) {
+                self.fail_over(id);
             }
         }
     }
 
-    /// Takes a request back from an endpoint that does not answer it.
-    pub(super) fn give_up_on(&mut self, id: RequestId) {
+    /// Takes a request back from an endpoint that does not respond.
+    pub(super) fn abandon_attempt(&mut self, id: RequestId) {
         let now = self.now;
         self.release(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.runs += 1;
         request.stage = Stage::Waiting;
-        if let Some(at) = request.at.take() {
-            if let Some(endpoint) = self.pool.endpoints.get_mut(&at) {
+        if let Some(instance) = request.instance.take() {
+            if let Some(endpoint) = self.pool.endpoints.get_mut(&instance) {
                 endpoint.note(true);
                 endpoint.note_lag(now.since(request.sent), now);
             }
-            request.tried.push(at);
+            request.tried.push(instance);
         }
     }
 
-    /// Refuses what has waited for a slot for too long, while those who are not late yet have the slots.
-    fn end_overlong(&mut self) {
-        let overlong = self.requests.iter().filter(|(_, one)| {
-            one.stage == Stage::Waiting && one.runs == 0 && one.overlong(self.now)
+    /// Refuses requests that have waited too long for a slot, while requests that are not late
+    /// occupy the slots.
+    fn refuse_long_waits(&mut self) {
+        let too_long = self.requests.iter().filter(|(_, request)| {
+            request.stage == Stage::Waiting
+                && request.runs == 0
+                && request.waited_too_long(self.now)
         });
-        let crowded = |one: &Request| matches!(self.choose(one), Choice::Crowded | Choice::Hold);
-        let crowded = overlong.filter(|(_, one)| crowded(one));
-        for id in crowded.map(|(id, _)| *id).collect::<Vec<_>>() {
+        let full =
+            |request: &Request| matches!(self.choose(request), Choice::Full | Choice::Throttle);
+        let full = too_long.filter(|(_, request)| full(request));
+        for id in full.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.refuse(id, Reason::Full);
         }
     }
 
-    /// In a planned stop, answers what would otherwise be cut off when the process ends.
+    /// During a planned stop, refuses requests that would otherwise be cut off when the process
+    /// ends.
     ///
-    /// The failure it prevents: a request waits for its model at an entry that is being stopped, the
-    /// process ends first, and the caller sees a closed connection without knowing whether it ran.
-    fn end_stopped(&mut self) {
+    /// Otherwise a request may wait for its model at an entry that is being stopped, and its caller
+    /// sees a closed connection without knowing whether the request ran.
+    fn refuse_on_stop(&mut self) {
         let Some(stop) = self.stop else { return };
-        let open = self.requests.iter().map(|(id, one)| (*id, one.stage, one.runs));
+        let open = self.requests.iter().map(|(id, request)| (*id, request.stage, request.runs));
         for (id, stage, runs) in open.collect::<Vec<_>>() {
             match stage {
-                Stage::Waiting if runs == 0 && self.now >= stop.wait => {
+                Stage::Waiting if runs == 0 && self.now >= stop.wait_until => {
                     self.refuse(id, Reason::Stopping);
                 }
-                Stage::Waiting | Stage::Sent if self.now >= stop.end => {
+                Stage::Waiting | Stage::Sent if self.now >= stop.end_by => {
                     self.refuse(id, Reason::TimedOut);
                 }
-                Stage::Waiting | Stage::Sent | Stage::Passing => {}
+                Stage::Waiting | Stage::Sent | Stage::Responding => {}
             }
         }
     }
 
-    /// Looks again at what waits, the most urgent first.
+    /// Tries to dispatch the waiting requests, the most urgent first.
     ///
-    /// Answers a model that is asked for more often than its replicas can serve. In the order of arrival
-    /// everybody waits for longer than the objective and nobody is answered in time; so who is late already
-    /// has what is left over by those who are not.
+    /// If a model is requested more often than its replicas can serve, dispatch in order of arrival
+    /// makes every request wait for longer than the objective, and none is answered in time. Late
+    /// requests therefore get only the capacity that the others leave.
     ///
-    /// Of those that need the same, the rest is passed over once one found no place: the queue may
-    /// hold hundreds, and an entry has a fifth of a core.
-    pub(super) fn retry_waiting(&mut self) {
-        let waiting = self.requests.iter().filter(|(_, one)| one.stage == Stage::Waiting);
-        let mut order = waiting.map(|(id, one)| (one.turn(self.now), *id)).collect::<Vec<_>>();
+    /// Among requests with the same requirements, the rest is skipped once one found no place: the
+    /// queue may hold hundreds, and an entry has a fifth of a core.
+    pub(super) fn schedule_waiting(&mut self) {
+        let waiting = self.requests.iter().filter(|(_, request)| request.stage == Stage::Waiting);
+        let mut order =
+            waiting.map(|(id, request)| (request.schedule_key(self.now), *id)).collect::<Vec<_>>();
         order.sort_unstable();
         let mut blocked = Set::default();
         for (_, id) in order {
             let Some(request) = self.requests.get(&id) else { continue };
-            let need = (request.service.clone(), request.target);
-            if blocked.contains(&need) {
+            let requirement = (request.service.clone(), request.required);
+            if blocked.contains(&requirement) {
                 continue;
             }
-            self.dispatch(id);
-            let waits = self.requests.get(&id).is_some_and(|one| one.stage == Stage::Waiting);
+            self.schedule(id);
+            let waits =
+                self.requests.get(&id).is_some_and(|request| request.stage == Stage::Waiting);
             if waits {
-                blocked.insert(need);
+                blocked.insert(requirement);
             }
         }
     }
--- a/crates/pool/src/entry/exchange.rs
+++ b/crates/pool/src/entry/exchange.rs
@@ -1,4 +1,4 @@
-//! A request from its first sending to its end.
+//! Dispatch, retry and completion of requests.
 
 use citronrill_base::hash_bytes;
 use citronrill_decide::LogEvent;
@@ -9,100 +9,112 @@
     Sending, Stage, Verdict, judge,
 };
 
-/// Sendings of one request at most, refusals included: a backstop beside the budget.
-pub(super) const SEND_LIMIT: u32 = 4;
-/// The status that promises that a request has not run and never will.
+/// Maximum dispatches of one request, including refused ones: a backstop in addition to the retry
+/// budget.
+pub(super) const MAX_DISPATCHES: u32 = 4;
+/// Status that guarantees that a request has not run and never will.
 const NOT_RUN_STATUS: u16 = 503;
-/// Milliseconds after which a caller may come back to an entry that waits for a text: one second is what
-/// a process takes from its start to its first text, and about what passes between two calls to a store
-/// that does not answer.
-pub(super) const NO_TEXT_RETRY_MS: u64 = 1_000;
-/// Milliseconds after which a caller may come back when its entry is stopping: just enough not to
-/// come in one wave.
+/// Retry time, in milliseconds, while the entry waits for a configuration. A process takes about
+/// one second from its start to its first configuration, and calls to an unresponsive platform
+/// store are about as far apart.
+pub(super) const NO_CONFIG_RETRY_MS: u64 = 1_000;
+/// Retry time, in milliseconds, when the entry is stopping: just enough to keep the retries from
+/// arriving all at once.
 const STOPPING_RETRY_MS: u64 = 50;
-/// Part of the time until a model is there over which its callers are spread when they come back: an
-/// endpoint takes a batch at once, and reads the prompts of one in the time that the next one adds.
-const RETURN_SPREAD: u64 = 8;
+/// Callers that wait for a model are spread over this fraction of its load time when they retry. An
+/// endpoint takes a whole batch at once, and reads the prompts of one batch in the time in which
+/// the next one arrives.
+const RETRY_SPREAD: u64 = 8;
 
 impl PoolEntry {
-    /// Sends a request to `instance`; `copy` says that its run goes on there from a copy of its memory.
-    pub(super) fn send(&mut self, id: RequestId, instance: &str, copy: bool) {
+    /// Dispatches a request to `instance`; `copy` means that its run resumes there from a copy of
+    /// its KV cache.
+    pub(super) fn dispatch(&mut self, id: RequestId, instance: &str, copy: bool) {
         let now = self.now;
-        let backup = self.requests.get(&id).and_then(|one| self.backup_for(one, instance));
-        let backup_at = backup.as_ref().and_then(|backup| self.pool.endpoints.get(backup));
-        let backup_at = backup_at.map(|one| one.member.address);
-        let (able, fleet_load) = self.alternatives(id);
+        let backup = self.requests.get(&id).and_then(|request| self.backup_for(request, instance));
+        let backup_address = backup.as_ref().and_then(|backup| self.pool.endpoints.get(backup));
+        let backup_address = backup_address.map(|endpoint| endpoint.member.address);
+        let (eligible, fleet_load) = self.alternatives(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(endpoint) = self.pool.endpoints.get_mut(instance) else { return };
         request.backup = backup;
-        let resume = Resume { after: request.after, copy };
+        let resume = Resume { after: request.last_event, copy };
         endpoint.own += 1;
         endpoint.load += 1;
         endpoint.unreported += 1;
         request.stage = Stage::Sent;
-        request.moving = false;
-        request.paid = false;
+        request.has_progress = false;
+        request.retry_charged = false;
         request.sent = now;
-        request.at = Some(instance.to_owned());
-        request.sends += 1;
-        let sending = Sending {
-            number: request.sends,
+        request.instance = Some(instance.to_owned());
+        request.dispatches += 1;
+        let dispatch = Sending {
+            number: request.dispatches,
             address: endpoint.member.address,
             instance: instance.to_owned(),
-            remaining_ms: request.ends.since(now),
+            remaining_ms: request.deadline.since(now),
             urgency: request.urgency(now),
-            backup: backup_at,
-            resume: (request.begun || copy).then_some(resume),
+            backup: backup_address,
+            resume: (request.head_sent || copy).then_some(resume),
         };
         let event = LogEvent::new("sent")
-            .with("id", &request.caller)
+            .with("id", &request.caller_id)
             .with("to", instance)
             .with("model", &request.model)
             .with("adapter", &request.adapter)
             .with("waited_ms", now.since(request.arrived))
-            .with("urgency", sending.urgency)
-            .with("able", able)
+            .with("urgency", dispatch.urgency)
+            .with("able", eligible)
             .with("load", endpoint.load)
             .with("fleet_load", fleet_load)
             .with("backup", request.backup.as_deref().unwrap_or(""))
             .with("copy", copy)
             .with("list", self.pool.version)
             .with("sequence", endpoint.holding.sequence);
-        if request.target.is_some() {
+        if request.required.is_some() {
             let (model, adapter) = (request.model.clone(), request.adapter.clone());
             let used = Usage { model, adapter, missed: false };
-            self.effects.push(EntryEffect::Used(sending.address, used));
+            self.effects.push(EntryEffect::Used(dispatch.address, used));
         }
-        self.effects.push(EntryEffect::Send(id, sending));
+        self.effects.push(EntryEffect::Send(id, dispatch));
         self.log(event);
     }
 
-    /// How many endpoints could run a request, and what runs at all endpoints of its service: a log line
-    /// with both tells whether an endpoint has much because it was chosen or because it was the only one.
+    /// Returns the number of endpoints that can run a request, and the load of its service. With
+    /// both in the log it is visible whether an endpoint with a high load was chosen or was the
+    /// only one.
     fn alternatives(&self, id: RequestId) -> (usize, u32) {
         let Some(request) = self.requests.get(&id) else { return (0, 0) };
-        let able = self.pool.endpoints.values().filter(|one| self.able(one, request)).count();
-        (able, self.runs_of(&request.service))
+        let eligible = self
+            .pool
+            .endpoints
+            .values()
+            .filter(|endpoint| self.eligible(endpoint, request))
+            .count();
+        (eligible, self.service_runs(&request.service))
     }
 
-    /// Whether an event belongs to the last sending of a request.
+    /// Returns whether an event belongs to the last dispatch of a request.
     ///
-    /// A request that is moved may have an answer of its first endpoint on the way; taken for the
-    /// second one's, it would be given as an answer that is no longer held.
-    pub(super) fn is_current(&self, id: RequestId, sending: u32) -> bool {
-        self.requests.get(&id).is_some_and(|one| one.stage == Stage::Sent && one.sends == sending)
+    /// After a failover, a response of the first endpoint may still be on its way. Taken for the
+    /// response of the second one, it would be forwarded although it is no longer held.
+    pub(super) fn is_current(&self, id: RequestId, dispatch: u32) -> bool {
+        self.requests
+            .get(&id)
+            .is_some_and(|request| request.stage == Stage::Sent && request.dispatches == dispatch)
     }
 
     pub(super) fn answer(&mut self, id: RequestId, head: AnswerHead) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let verdict = judge(head, request.repeat);
-        // An endpoint's own failure cannot be given any more where the caller has the head of a success:
-        // its body would be taken for the rest of the answer.
-        let begun = request.begun;
-        let spoils = begun && verdict == Verdict::Pass && !head.success();
-        let verdict = if spoils { Verdict::Failed } else { verdict };
-        let endpoint = request.at.as_ref().and_then(|at| self.pool.endpoints.get_mut(at));
+        // Once the caller has the head of a successful response, an endpoint's error response can
+        // no longer be forwarded: its body would be taken for the rest of the first response.
+        let head_sent = request.head_sent;
+        let unforwardable = head_sent && verdict == Verdict::Pass && !head.success();
+        let verdict = if unforwardable { Verdict::Failed } else { verdict };
+        let endpoint =
+            request.instance.as_ref().and_then(|instance| self.pool.endpoints.get_mut(instance));
         if let Some(endpoint) = endpoint {
             endpoint.life.hear(now);
             if let Some(load) = head.load {
@@ -115,26 +127,27 @@
             if verdict != Verdict::NotRun {
                 endpoint.note(verdict == Verdict::Failed || head.status >= 500);
             } else if head.status == 421 {
-                // The endpoint does not hold what was believed: the belief is dropped until the
-                // list or the side says something newer, or requests would go there in a loop.
-                let target = request.target;
-                endpoint.holding.keys.retain(|key| Some(*key) != target);
+                // The endpoint does not have the model that it was known to have. The key is
+                // removed until the member list or the side reports something newer; otherwise
+                // requests would be dispatched there in a loop.
+                let required = request.required;
+                endpoint.holding.keys.retain(|key| Some(*key) != required);
             }
         }
         match verdict {
-            Verdict::Pass => self.pass(id),
+            Verdict::Pass => self.forward(id),
             Verdict::NotRun => {
-                let gone = request.at.clone().filter(|_| head.elsewhere);
-                self.again(id, false, head.status, false);
-                if let Some(instance) = gone {
+                let stale = request.instance.clone().filter(|_| head.elsewhere);
+                self.retry_or_end(id, false, head.status, false);
+                if let Some(instance) = stale {
                     self.log(LogEvent::new("superseded").with("instance", &instance));
                     self.pool.remove(&instance);
-                    self.tell_sides();
+                    self.update_sides();
                 }
             }
             Verdict::Failed => {
                 let own_failure = head.signed && !head.foreign && head.status >= 500;
-                self.again(id, true, head.status, own_failure && !begun);
+                self.retry_or_end(id, true, head.status, own_failure && !head_sent);
             }
         }
     }
@@ -142,66 +155,67 @@
     pub(super) fn fail(&mut self, id: RequestId, kind: FailureKind) {
         let now = self.now;
         let Some(request) = self.requests.get(&id) else { return };
-        let at = request.at.clone().unwrap_or_default();
-        if let Some(endpoint) = self.pool.endpoints.get_mut(&at) {
+        let instance = request.instance.clone().unwrap_or_default();
+        if let Some(endpoint) = self.pool.endpoints.get_mut(&instance) {
             endpoint.note(true);
             if kind == FailureKind::Unreached {
                 endpoint.avoid(now);
             }
         }
-        self.again(id, kind == FailureKind::Broken, 0, false);
+        self.retry_or_end(id, kind == FailureKind::Broken, 0, false);
     }
 
-    /// Tries a request again, or ends it; `passable` says that the endpoint's own failure is held
-    /// and can be given to the caller.
-    fn again(&mut self, id: RequestId, ran: bool, status: u16, passable: bool) {
+    /// Retries a request or ends it; `forwardable` means that the endpoint's own error response is
+    /// held and can be forwarded to the caller.
+    fn retry_or_end(&mut self, id: RequestId, ran: bool, status: u16, forwardable: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.runs += u32::from(ran);
         let runs = request.runs;
-        let exhausted = request.sends >= SEND_LIMIT || runs >= request.attempts;
+        let exhausted = request.dispatches >= MAX_DISPATCHES || runs >= request.max_attempts;
         let barred = exhausted || runs > 0 && !request.repeat.may_rerun();
         let event = LogEvent::new("failed")
-            .with("id", &request.caller)
-            .with("from", request.at.as_deref().unwrap_or(""))
+            .with("id", &request.caller_id)
+            .with("from", request.instance.as_deref().unwrap_or(""))
             .with("status", status)
             .with("ran", ran)
-            .with("sends", request.sends)
+            .with("sends", request.dispatches)
             .with("barred", barred);
         self.log(event);
-        if ran && status == 0 && self.go_on_from_copy(id) {
+        if ran && status == 0 && self.resume_from_copy(id) {
             return;
         }
-        let retry = !barred && self.pay(id);
-        if !retry && passable {
-            self.pass(id);
+        let retry = !barred && self.charge_retry(id);
+        if !retry && forwardable {
+            self.forward(id);
             return;
         }
-        self.leave_endpoint(id);
+        self.detach(id);
         if retry {
-            self.dispatch(id);
+            self.schedule(id);
         } else {
             self.refuse(id, if runs > 0 { Reason::Broken } else { Reason::Full });
         }
     }
 
-    fn pass(&mut self, id: RequestId) {
+    fn forward(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.stage = Stage::Passing;
+            request.stage = Stage::Responding;
             self.effects.push(EntryEffect::Pass(id));
         }
     }
 
     pub(super) fn finish(&mut self, id: RequestId, complete: bool) {
-        let at = self.requests.get(&id).and_then(|request| request.at.clone());
-        if let Some(endpoint) = at.and_then(|at| self.pool.endpoints.get_mut(&at)) {
+        let instance = self.requests.get(&id).and_then(|request| request.instance.clone());
+        if let Some(endpoint) = instance.and_then(|instance| self.pool.endpoints.get_mut(&instance))
+        {
             endpoint.note(!complete);
         }
         self.release(id);
         if let Some(request) = self.requests.remove(&id) {
             self.log(
                 LogEvent::new("finished")
-                    .with("id", &request.caller)
-                    .with("from", request.at.as_deref().unwrap_or(""))
+                    .with("id", &request.caller_id)
+                    .with("from", request.instance.as_deref().unwrap_or(""))
                     .with("complete", complete)
                     .with("head_ms", request.head_ms)
                     .with("took_ms", self.now.since(request.arrived)),
@@ -209,24 +223,28 @@
         }
     }
 
-    pub(super) fn leave(&mut self, id: RequestId) {
+    pub(super) fn caller_left(&mut self, id: RequestId) {
         self.release(id);
         if let Some(request) = self.requests.remove(&id) {
-            let at = request.at.as_deref().unwrap_or("");
-            let silent = self.pool.endpoints.get(at).is_some_and(|one| one.dark(self.now));
-            let event = LogEvent::new("left").with("id", &request.caller).with("from", at);
+            let instance = request.instance.as_deref().unwrap_or("");
+            let silent =
+                self.pool.endpoints.get(instance).is_some_and(|endpoint| endpoint.dark(self.now));
+            let event = LogEvent::new("left").with("id", &request.caller_id).with("from", instance);
             let event = event.with("after_ms", self.now.since(request.arrived));
-            self.log(event.with("begun", request.stage == Stage::Passing).with("silent", silent));
+            self.log(
+                event.with("begun", request.stage == Stage::Responding).with("silent", silent),
+            );
         }
     }
 
-    /// Takes a request off its endpoint's count.
+    /// Removes a request from the load counts of its endpoint.
     pub(super) fn release(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.stage == Stage::Waiting {
             return;
         }
-        let endpoint = request.at.as_ref().and_then(|at| self.pool.endpoints.get_mut(at));
+        let endpoint =
+            request.instance.as_ref().and_then(|instance| self.pool.endpoints.get_mut(instance));
         if let Some(endpoint) = endpoint {
             endpoint.own = endpoint.own.saturating_sub(1);
             endpoint.load = endpoint.load.saturating_sub(1);
@@ -234,53 +252,54 @@
     }
 
     pub(super) fn refuse(&mut self, id: RequestId, reason: Reason) {
-        if self.requests.get(&id).is_some_and(|request| request.begun) {
+        if self.requests.get(&id).is_some_and(|request| request.head_sent) {
             self.cut(id, reason);
             return;
         }
         self.release(id);
         let Some(request) = self.requests.remove(&id) else { return };
-        // A request whose first run broke and that then finds no second endpoint has run: a status
-        // that promises otherwise would be a lie, whatever stopped the second.
-        let lie = request.runs > 0 && reason.status() == NOT_RUN_STATUS;
-        let reason = if lie { Reason::Broken } else { reason };
+        // If the first run broke and no second endpoint is found, the request has run: a status
+        // that guarantees otherwise would be wrong, whatever prevented the second run.
+        let contradicts = request.runs > 0 && reason.status() == NOT_RUN_STATUS;
+        let reason = if contradicts { Reason::Broken } else { reason };
         let retry_ms = self.retry_after(reason, &request);
-        let (holders, copies, coming) = request.base.map_or((0, 0, 0), |base| self.nearness(base));
+        let (holders, copies, loading) =
+            request.base.map_or((0, 0, 0), |base| self.availability(base));
         self.log(
             LogEvent::new("refused")
-                .with("id", &request.caller)
+                .with("id", &request.caller_id)
                 .with("reason", reason.word())
                 .with("status", reason.status())
                 .with("model", &request.model)
                 .with("holders", holders)
                 .with("copies", copies)
-                .with("coming", coming)
+                .with("coming", loading)
                 .with("after_ms", self.now.since(request.arrived))
-                .with("sends", request.sends)
+                .with("sends", request.dispatches)
                 .with("runs", request.runs)
-                .with("text", self.text_version())
+                .with("text", self.config_version())
                 .with("list", self.pool.version),
         );
         self.effects.push(EntryEffect::Refuse(id, Refusal { reason, retry_ms }));
     }
 
-    /// When a refused caller may come back.
+    /// Returns the milliseconds after which a refused caller may retry.
     ///
-    /// The endpoints work off a full queue within about the latency objective, so half of that
-    /// finds room again without a wave of callers at one moment; the caller's number spreads it. Where
-    /// a model is away, its callers come back when it is there: sent back earlier, they are refused
-    /// again, and most come back only once.
+    /// The endpoints work off a full queue within about the latency objective, so there is room
+    /// again after half of it. A hash of the caller's request ID spreads the retries. If the model
+    /// is not loaded, callers retry when it should be ready: earlier retries are refused again, and
+    /// most callers retry only once.
     fn retry_after(&self, reason: Reason, request: &Request) -> Option<u64> {
         let soon = request.target_ms / 2;
-        let spread = |ms: u64| hash_bytes(request.caller.as_bytes()) % (ms + 1);
+        let spread = |ms: u64| hash_bytes(request.caller_id.as_bytes()) % (ms + 1);
         match reason {
             Reason::Full => Some(soon + spread(request.target_ms / 4)),
             Reason::NoEndpoint | Reason::TooFar => {
                 let ms = self.ready_ms(request).unwrap_or(0).max(soon);
-                Some(ms + spread((request.target_ms / 4).max(ms / RETURN_SPREAD)))
+                Some(ms + spread((request.target_ms / 4).max(ms / RETRY_SPREAD)))
             }
-            Reason::NoText | Reason::OldText => Some(NO_TEXT_RETRY_MS),
-            // Any other entry takes it at once.
+            Reason::NoText | Reason::OldText => Some(NO_CONFIG_RETRY_MS),
+            // Any other entry can serve it at once.
             Reason::Stopping => Some(STOPPING_RETRY_MS),
             Reason::Expired
             | Reason::NoRoute
--- a/crates/pool/src/entry/mod.rs
+++ b/crates/pool/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry's reducer: one request from its arrival to its end.
+//! State machine of the entry role: handles each request from arrival to completion.
 
 mod admit;
 mod choose;
@@ -28,8 +28,8 @@
     RequestId, Resume, Sending, SideLoss, TokenCount, Verdict,
 };
 use self::{
-    choose::Choice, demand::Demand, exchange::SEND_LIMIT, resume::Losses, stock::Stock,
-    store_limit::StoreLimit, wants::OpenWant,
+    choose::Choice, demand::Demand, exchange::MAX_DISPATCHES, resume::Losses, stock::PreloadState,
+    store_limit::StoreLimit, wants::LoadRequest,
 };
 use crate::{
     budget::RetryBudget,
@@ -38,269 +38,275 @@
     text::{Repeat, ServingText},
 };
 
-/// Entries assumed while no side has said how many there are: small shares of a common budget are
-/// safe, large ones are not.
+/// Entry count assumed until a side has reported one. A high count gives each entry a small share
+/// of the common retry budget, which is the safe error.
 const ASSUMED_ENTRIES: u32 = 8;
-/// Entries counted at least: right after a start the others have not yet connected.
+/// Lower bound on the reported entry count: right after a start, the other entries have not
+/// connected yet.
 const MIN_ENTRIES: u32 = 3;
-/// Part of the allowed ratio that is used: the window that is judged slides over arrivals at the
-/// endpoints, some of which were sent before it began.
-const RATIO_PART: f64 = 0.85;
-/// Milliseconds before a request's end at which nothing new is begun for it.
-const LAST_CALL_MS: u64 = 20;
-/// Milliseconds in which the slots of an endpoint turn over once: a stream runs about that long, a
-/// plain call less.
-const WAVE_MS: f64 = 500.0;
-/// Latency objectives for which a request waits for a slot at most: who has waited that long in a
-/// queue that was worked out to be shorter is better told to come back.
-const CROWD_TARGETS: u64 = 4;
-/// Milliseconds that a request may wait for a slot whatever its objective.
-const CROWD_MIN_MS: u64 = 500;
-/// Milliseconds that an endpoint with room takes to the first event of a stream: a prompt of 9,000
-/// tokens is read in 240.
+/// Share of the permitted retry ratio that is used. Compliance is checked over a sliding window of
+/// arrivals at the endpoints, and some of these requests were sent before the window began.
+const RETRY_RATIO_SHARE: f64 = 0.85;
+/// Minimum milliseconds before a request's deadline to start any new work for it.
+const MIN_REMAINING_MS: u64 = 20;
+/// Milliseconds in which every slot of an endpoint becomes free once. A stream runs for about that
+/// long, a plain call for less.
+const SLOT_TURNOVER_MS: f64 = 500.0;
+/// Maximum time that a request waits for a slot, in latency objectives. A request that has waited
+/// longer, although its queue was estimated to be shorter, is refused with a retry time.
+const QUEUE_TARGETS: u64 = 4;
+/// Lower bound on that maximum, in milliseconds.
+const QUEUE_MIN_MS: u64 = 500;
+/// Milliseconds that an endpoint with free slots takes to the first event of a stream. A prompt of
+/// 9,000 tokens is read in 240 ms.
 const FIRST_EVENT_MS: u64 = 250;
-/// Where a request stands.
+/// Processing stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// It waits for a model or a free endpoint.
+    /// Waits for a model or a free slot.
     Waiting,
-    /// It was sent and no answer has begun.
+    /// Dispatched to an endpoint; no response has started.
     Sent,
-    /// Its answer is being given.
-    Passing,
+    /// The response is being forwarded to the caller.
+    Responding,
 }
 
-/// One request in the entry's hands.
+/// A request that is in flight at this entry.
 #[derive(Debug, Clone)]
 struct Request {
-    caller: String,
+    caller_id: String,
     service: String,
     repeat: Repeat,
-    rank: u8,
-    attempts: u32,
+    priority: u8,
+    max_attempts: u32,
     target_ms: u64,
-    /// The model's name and an adapter's, or empty.
+    /// Model name; `adapter` is the adapter name, or empty.
     model: String,
     adapter: String,
-    /// What must be held by an endpoint for it to run; `None` for a plain service.
-    target: Option<ModelKey>,
+    /// Model or adapter that an endpoint must have loaded to run the request; `None` for a plain
+    /// service.
+    required: Option<ModelKey>,
     base: Option<ModelKey>,
-    prefix: u64,
+    prefix_hash: u64,
     arrived: Millis,
-    ends: Millis,
-    /// When its caller leaves if no event of its stream has come; never after `ends`.
-    patient: Millis,
+    deadline: Millis,
+    /// When the caller disconnects if no stream event has arrived; never after `deadline`.
+    idle_deadline: Millis,
     stage: Stage,
-    /// When it was last sent.
+    /// Time of the last dispatch.
     sent: Millis,
-    /// Milliseconds from the last sending to the head of its answer.
+    /// Milliseconds from the last dispatch to the response head.
     head_ms: u64,
-    /// The instance that has it.
-    at: Option<String>,
-    /// Instances that had it and failed or refused it.
+    /// Instance that the request was last dispatched to.
+    instance: Option<String>,
+    /// Instances that failed or refused the request.
     tried: Vec<String>,
-    /// Sendings after which it may have run.
+    /// Number of dispatches that may have run the request.
     runs: u32,
-    sends: u32,
-    /// Whether it was counted as having found no replica with room.
+    dispatches: u32,
+    /// Whether the request was counted as a miss: no replica had room.
     missed: bool,
     tokens: TokenCount,
-    /// Milliseconds without an event after which its caller leaves.
-    patience: u64,
-    /// Whether its caller has the head of the answer, so that nothing else can be said any more.
-    begun: bool,
-    /// The last event that its caller had.
-    after: Option<u64>,
-    /// The instance to which the memory of its last run was copied.
+    /// Milliseconds without an event after which the caller disconnects.
+    idle_timeout: u64,
+    /// Whether the caller has received the response head, so that the response can no longer be
+    /// replaced by an error.
+    head_sent: bool,
+    /// Last event that was delivered to the caller.
+    last_event: Option<u64>,
+    /// Instance to which the KV cache of the last run was copied.
     backup: Option<String>,
-    /// Whether its present answer has given bytes.
-    moving: bool,
-    /// Whether the retry budget has paid for its next sending.
-    paid: bool,
+    /// Whether the current response has delivered any bytes.
+    has_progress: bool,
+    /// Whether the next dispatch has already been charged to the retry budget.
+    retry_charged: bool,
 }
 
 impl Request {
-    /// Milliseconds for which it may still wait before it is sent: an endpoint then has the time that
-    /// it usually takes to the first event before the caller leaves.
+    /// Returns how many milliseconds the request may still wait before dispatch. The rest of the
+    /// caller's idle timeout is left to the endpoint for the first event.
     fn wait_ms(&self, now: Millis) -> u64 {
-        let bounded = self.target.is_some() && self.patient < self.ends;
+        let bounded = self.required.is_some() && self.idle_deadline < self.deadline;
         let first = if bounded { FIRST_EVENT_MS } else { 0 };
-        self.patient.since(now).saturating_sub(first)
+        self.idle_deadline.since(now).saturating_sub(first)
     }
 
-    /// Whether it can no longer be answered within its latency objective.
-    fn late(&self, now: Millis) -> bool {
+    /// Returns whether the latency objective has already passed.
+    fn is_late(&self, now: Millis) -> bool {
         now.since(self.arrived) >= self.target_ms
     }
 
-    /// The order in which requests that need the same are served: by rank, and of one rank those first that
-    /// can still be answered within their objective.
-    fn turn(&self, now: Millis) -> (u8, bool) {
-        (self.rank, self.late(now))
+    /// Returns the scheduling key among requests with the same requirements: by priority, then
+    /// those first that can still meet their latency objective.
+    fn schedule_key(&self, now: Millis) -> (u8, bool) {
+        (self.priority, self.is_late(now))
     }
 
-    /// Whether it has waited for a slot for as long as is of use.
-    fn overlong(&self, now: Millis) -> bool {
-        now.since(self.arrived) > (CROWD_TARGETS * self.target_ms).max(CROWD_MIN_MS)
+    /// Returns whether the request has waited for a slot for the maximum time.
+    fn waited_too_long(&self, now: Millis) -> bool {
+        now.since(self.arrived) > (QUEUE_TARGETS * self.target_ms).max(QUEUE_MIN_MS)
     }
 
-    /// Its place in an endpoint's queue, 0 first: two for each rank.
+    /// Returns the priority in the endpoint's queue, 0 first. Each request priority has two levels:
+    /// on time and late.
     fn urgency(&self, now: Millis) -> u8 {
-        let (rank, late) = self.turn(now);
-        rank.saturating_mul(2).saturating_add(u8::from(late))
+        let (priority, late) = self.schedule_key(now);
+        priority.saturating_mul(2).saturating_add(u8::from(late))
     }
 
-    /// Why it is refused when it may wait no longer: its time is up, or what it needs comes too late
-    /// for its caller's patience and may be there when the caller comes back.
+    /// Returns the refusal reason for a request that can wait no longer: its deadline has passed,
+    /// or its model will be loaded too late for the caller's idle timeout but may be ready on a
+    /// retry.
     fn late_reason(&self, now: Millis) -> Reason {
-        if self.ends.since(now) < LAST_CALL_MS { Reason::Expired } else { Reason::TooFar }
+        if self.deadline.since(now) < MIN_REMAINING_MS { Reason::Expired } else { Reason::TooFar }
     }
 }
 
-/// When a planned stop ends what is in hand.
+/// Deadlines of a planned stop.
 #[derive(Debug, Clone, Copy)]
 struct Stop {
-    /// Nothing waits after this: another entry serves it sooner than this one could.
-    wait: Millis,
-    /// Nothing is without an answer after this: the process ends.
-    end: Millis,
+    /// No request waits after this time: another entry serves it sooner than this one could.
+    wait_until: Millis,
+    /// No request is left without a response after this time: the process ends.
+    end_by: Millis,
 }
 
-/// Decides for callers' requests at one entry.
+/// Routes, queues, dispatches and refuses the requests that callers send to one entry.
 #[derive(Debug)]
 pub struct PoolEntry {
     profile: EntryProfile,
     now: Millis,
-    /// When the clock was last looked at.
-    ticked: Millis,
-    text: Option<Arc<ServingText>>,
-    /// Whether the store answers for that text.
-    current: bool,
+    /// Time of the last deadline check.
+    last_check: Millis,
+    config: Option<Arc<ServingText>>,
+    /// Whether the platform store has confirmed that this configuration is current.
+    config_current: bool,
     pool: Pool,
     names: Names<ModelKey>,
     requests: BTreeMap<RequestId, Request>,
     budgets: Map<String, RetryBudget>,
-    wants: Map<ModelKey, OpenWant>,
+    load_requests: Map<ModelKey, LoadRequest>,
     demand: Demand,
-    stock: Stock,
+    preload: PreloadState,
     losses: Losses,
-    store: StoreLimit,
+    store_limit: StoreLimit,
     stop: Option<Stop>,
     effects: Vec<EntryEffect>,
 }
 
 impl PoolEntry {
-    /// An entry that knows nothing yet.
+    /// Creates an entry without configuration or member list.
     pub fn new(profile: EntryProfile) -> PoolEntry {
         PoolEntry {
             profile,
             now: Millis(0),
-            ticked: Millis(0),
-            text: None,
-            current: false,
+            last_check: Millis(0),
+            config: None,
+            config_current: false,
             pool: Pool::default(),
             names: Names::default(),
             requests: BTreeMap::new(),
             budgets: Map::default(),
-            wants: Map::default(),
+            load_requests: Map::default(),
             demand: Demand::default(),
-            stock: Stock::default(),
+            preload: PreloadState::default(),
             losses: Losses::default(),
-            store: StoreLimit::default(),
+            store_limit: StoreLimit::default(),
             stop: None,
             effects: Vec::new(),
         }
     }
 
-    /// Whether requests can be served: text and list are known.
+    /// Returns whether requests can be served: configuration and member list are known.
     pub fn ready(&self) -> bool {
-        self.text.is_some() && self.pool.version > 0
+        self.config.is_some() && self.pool.version > 0
     }
 
-    /// The version of the text in force; 0 if none is known.
-    pub fn text_version(&self) -> u64 {
-        self.text.as_ref().map_or(0, |text| text.version)
+    /// Returns the version of the active configuration; 0 if none is known.
+    pub fn config_version(&self) -> u64 {
+        self.config.as_ref().map_or(0, |config| config.version)
     }
 
-    /// The version of the list of instances.
-    pub fn list_version(&self) -> u64 {
+    /// Returns the version of the member list.
+    pub fn members_version(&self) -> u64 {
         self.pool.version
     }
 
-    /// Requests in hand.
+    /// Returns the number of requests in flight.
     pub fn in_hand(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes one event and gives what is to be done.
+    /// Processes one event and returns the effects to be carried out.
     pub fn step(&mut self, now: Millis, event: EntryEvent) -> Vec<EntryEffect> {
         self.now = now;
         match event {
-            EntryEvent::Text(text) => self.take_text(text),
-            EntryEvent::TextCurrent(current) => self.current = current,
-            EntryEvent::Members(change) => self.take_members(change),
-            EntryEvent::Side(address, state) => self.take_side(address, &state),
-            EntryEvent::Alive(address) => self.alive(address),
+            EntryEvent::Text(config) => self.apply_config(config),
+            EntryEvent::TextCurrent(current) => self.config_current = current,
+            EntryEvent::Members(change) => self.apply_members(change),
+            EntryEvent::Side(address, state) => self.apply_side_state(address, &state),
+            EntryEvent::Alive(address) => self.record_alive(address),
             EntryEvent::SideLost(address, loss) => self.side_lost(address, loss),
-            EntryEvent::Declined(address, name) => self.declined(address, &name),
+            EntryEvent::Declined(address, name) => self.record_decline(address, &name),
             EntryEvent::Arrive(arrival) => self.arrive(arrival),
-            EntryEvent::Answer(id, sending, head) => {
-                if self.is_current(id, sending) {
+            EntryEvent::Answer(id, dispatch, head) => {
+                if self.is_current(id, dispatch) {
                     self.answer(id, head);
                 }
             }
-            EntryEvent::Fail(id, sending, kind) => {
-                if self.is_current(id, sending) {
+            EntryEvent::Fail(id, dispatch, kind) => {
+                if self.is_current(id, dispatch) {
                     self.fail(id, kind);
                 }
             }
             EntryEvent::Progress(ids) => self.progress(&ids),
             EntryEvent::Finish(id, complete) => self.finish(id, complete),
-            EntryEvent::Broke(id, after) => self.broke(id, after),
-            EntryEvent::Leave(id) => self.leave(id),
+            EntryEvent::Broke(id, last_event) => self.stream_broken(id, last_event),
+            EntryEvent::Leave(id) => self.caller_left(id),
             EntryEvent::Stop(wait_ms, end_ms) => {
-                self.stop = Some(Stop { wait: now + wait_ms, end: now + end_ms });
+                self.stop = Some(Stop { wait_until: now + wait_ms, end_by: now + end_ms });
             }
-            EntryEvent::Look => self.look(),
+            EntryEvent::Look => self.check_deadlines(),
             EntryEvent::Tick => self.tick(),
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes a text; one that is no newer changes nothing, so that an entry never goes back.
-    fn take_text(&mut self, text: Arc<ServingText>) {
-        if text.version <= self.text_version() {
+    /// Applies a configuration. Ignores a version that is not newer, so that an entry never goes
+    /// back to an older configuration.
+    fn apply_config(&mut self, config: Arc<ServingText>) {
+        if config.version <= self.config_version() {
             return;
         }
-        let old = self.text_version();
-        self.log(LogEvent::new("text").with("version", text.version).with("old", old));
-        let services = text.services.iter().map(|service| service.name.clone()).collect();
-        self.text = Some(text);
+        let old = self.config_version();
+        self.log(LogEvent::new("text").with("version", config.version).with("old", old));
+        let services = config.services.iter().map(|service| service.name.clone()).collect();
+        self.config = Some(config);
         let listed = self.pool.serve(services, &mut self.names, self.now);
-        self.note_listed(listed);
-        self.tell_sides();
-        self.retry_waiting();
+        self.handle_membership(listed);
+        self.update_sides();
+        self.schedule_waiting();
     }
 
-    fn take_members(&mut self, change: MemberChange) {
+    fn apply_members(&mut self, change: MemberChange) {
         let listed = self.pool.apply(change, &mut self.names, self.now);
-        self.stock.note_list(self.now);
-        self.note_listed(listed);
-        self.retry_waiting();
+        self.preload.record_list(self.now);
+        self.handle_membership(listed);
+        self.schedule_waiting();
     }
 
-    /// Acts on what a change of the list has brought.
-    fn note_listed(&mut self, listed: Listed) {
+    /// Handles the effects of a membership change.
+    fn handle_membership(&mut self, listed: Listed) {
         let version = self.pool.version;
         for instance in listed.anew {
-            self.note_restart(&instance, "list");
+            self.handle_restart(&instance, "list");
         }
         for instance in listed.older {
             let event = LogEvent::new("older_start").with("instance", instance);
             self.log(event.with("version", version));
         }
         for service in listed.departed {
-            self.stock.note_departure(&service, self.now);
+            self.preload.count_departure(&service, self.now);
         }
         for (instance, service) in listed.strangers {
             let event = LogEvent::new("unknown_service").with("instance", instance);
@@ -310,25 +316,26 @@
             let open = self.pool.endpoints.values().filter(|endpoint| endpoint.open()).count();
             let event = LogEvent::new("members").with("version", version);
             self.log(event.with("known", self.pool.endpoints.len()).with("open", open));
-            self.tell_sides();
+            self.update_sides();
         }
     }
 
-    /// An endpoint has started again under its name: what was asked of its last start is void.
-    fn note_restart(&mut self, instance: &str, source: &'static str) {
+    /// Handles a new incarnation of an endpoint: load requests to the previous one are void.
+    fn handle_restart(&mut self, instance: &str, source: &'static str) {
         let Some(endpoint) = self.pool.endpoints.get(instance) else { return };
         let address = endpoint.member.address;
         let started = endpoint.started().map_or(0, |start| start.0);
-        self.note_loss(instance);
-        self.wants.retain(|_, want| !want.is_at(address));
+        self.record_loss(instance);
+        self.load_requests.retain(|_, load_request| !load_request.sent_to(address));
         let event = LogEvent::new("restarted").with("instance", instance);
         self.log(event.with("started", started).with("source", source));
     }
 
-    /// Names the endpoints whose sides are to be connected: those of services with models.
-    fn tell_sides(&mut self) {
-        let Some(text) = &self.text else { return };
-        let engine = |name: &str| text.service(name).is_some_and(|one| one.engine.is_some());
+    /// Updates the set of sides to connect to: those of services with models.
+    fn update_sides(&mut self) {
+        let Some(config) = &self.config else { return };
+        let engine =
+            |name: &str| config.service(name).is_some_and(|service| service.engine.is_some());
         let members = self.pool.endpoints.values().map(|endpoint| &endpoint.member);
         let sides = members.filter(|member| engine(&member.service)).map(|member| member.address);
         let mut sides = sides.collect::<Vec<_>>();
@@ -336,24 +343,24 @@
         self.effects.push(EntryEffect::Sides(sides));
     }
 
-    fn take_side(&mut self, address: SocketAddr, state: &SideState) {
+    fn apply_side_state(&mut self, address: SocketAddr, state: &SideState) {
         if let Some(heard) = self.pool.hear(address, state, &mut self.names, self.now) {
-            let anew = self.pool.at(address).filter(|_| heard.anew);
-            if let Some(instance) = anew.map(|one| one.member.instance.clone()) {
-                self.note_restart(&instance, "side");
+            let restarted = self.pool.at(address).filter(|_| heard.anew);
+            if let Some(instance) = restarted.map(|endpoint| endpoint.member.instance.clone()) {
+                self.handle_restart(&instance, "side");
             }
             if let Some(over) = heard.over {
                 let event = LogEvent::new("superseded").with("instance", over);
                 self.log(event.with("by", &state.instance).with("sequence", state.sequence));
-                self.note_loss(&state.instance);
+                self.record_loss(&state.instance);
             }
-            self.learn_store();
-            self.close_wants(address);
-            self.retry_waiting();
+            self.update_store_limit();
+            self.resolve_load_requests(address);
+            self.schedule_waiting();
         }
     }
 
-    fn alive(&mut self, address: SocketAddr) {
+    fn record_alive(&mut self, address: SocketAddr) {
         let now = self.now;
         if let Some(endpoint) = self.pool.at(address) {
             endpoint.life.hear(now);
@@ -369,7 +376,7 @@
         }
     }
 
-    fn declined(&mut self, address: SocketAddr, name: &ModelName) {
+    fn record_decline(&mut self, address: SocketAddr, name: &ModelName) {
         let now = self.now;
         let Some(endpoint) = self.pool.at(address) else { return };
         endpoint.decline(now);
@@ -377,66 +384,67 @@
         let full = full_name(&name.model, &name.adapter);
         let key = self.names.intern(&full);
         if name.adapter.is_empty() {
-            // Another side may have room at once.
-            self.wants.retain(|held, want| *held != key || !want.is_at(address));
-        } else if let Some(want) = self.wants.get_mut(&key) {
-            want.decline(address, now);
+            // Another side may have room right away.
+            self.load_requests
+                .retain(|held, load_request| *held != key || !load_request.sent_to(address));
+        } else if let Some(load_request) = self.load_requests.get_mut(&key) {
+            load_request.decline(address, now);
         }
         self.log(event.with("model", full));
     }
 
-    /// Sends a waiting request, lets it wait, or refuses it.
-    fn dispatch(&mut self, id: RequestId) {
+    /// Dispatches a waiting request, keeps it waiting, or refuses it.
+    fn schedule(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.stage != Stage::Waiting {
             return;
         }
-        if request.wait_ms(self.now) < LAST_CALL_MS {
+        if request.wait_ms(self.now) < MIN_REMAINING_MS {
             self.refuse(id, request.late_reason(self.now));
             return;
         }
         match self.choose(request) {
-            Choice::Send(instance) => self.send(id, &instance, false),
-            Choice::Fetch => self.want(id),
-            Choice::Crowded => self.crowd(id),
-            Choice::Hold => {}
+            Choice::Dispatch(instance) => self.dispatch(id, &instance, false),
+            Choice::Load => self.request_model(id),
+            Choice::Full => self.queue_or_refuse(id),
+            Choice::Throttle => {}
             Choice::Refuse(reason) => self.refuse(id, reason),
         }
     }
 
-    /// Lets a request wait for a slot, unless it cannot get one in time.
+    /// Keeps a request waiting for a slot, unless it cannot get one in time.
     ///
-    /// Answers a burst beyond what the endpoints carry: the queue is as long as can be worked off
-    /// before its last request's end, and whoever comes after is told so at once.
-    fn crowd(&mut self, id: RequestId) {
+    /// During a burst beyond the endpoints' capacity, this bounds the queue to what can be served
+    /// before the last request's deadline. Later requests are refused at once.
+    fn queue_or_refuse(&mut self, id: RequestId) {
         if let Some(base) = self.requests.get(&id).and_then(|request| request.base) {
-            self.miss(id, base);
+            self.count_miss(id, base);
         }
         let Some(request) = self.requests.get(&id) else { return };
-        let turn = request.turn(self.now);
-        let same = |one: &&Request| {
-            one.stage == Stage::Waiting
-                && one.service == request.service
-                && one.base == request.base
-                && one.turn(self.now) <= turn
+        let schedule_key = request.schedule_key(self.now);
+        let same = |other: &&Request| {
+            other.stage == Stage::Waiting
+                && other.service == request.service
+                && other.base == request.base
+                && other.schedule_key(self.now) <= schedule_key
         };
-        let ahead = self.requests.range(..id).map(|(_, one)| one).filter(same).count();
-        let holders = self.pool.endpoints.values().filter(|one| {
-            one.open()
-                && one.member.service == request.service
-                && request.base.is_none_or(|base| one.holding.models.contains(&base))
+        let ahead = self.requests.range(..id).map(|(_, other)| other).filter(same).count();
+        let holders = self.pool.endpoints.values().filter(|endpoint| {
+            endpoint.open()
+                && endpoint.member.service == request.service
+                && request.base.is_none_or(|base| endpoint.holding.models.contains(&base))
         });
-        let slots = holders.map(|one| one.member.slots).sum::<u32>();
+        let slots = holders.map(|endpoint| endpoint.member.slots).sum::<u32>();
         let entries = self.entries();
         let rounds = (ahead + 1) as f64 * f64::from(entries) / f64::from(slots.max(1));
         let left = request.wait_ms(self.now) as f64;
-        let overlong = request.overlong(self.now);
-        if rounds * WAVE_MS > left - WAVE_MS || overlong {
+        let too_long = request.waited_too_long(self.now);
+        if rounds * SLOT_TURNOVER_MS > left - SLOT_TURNOVER_MS || too_long {
             self.refuse(id, Reason::Full);
         }
     }
 
-    /// How many entries there are, by what the sides see.
+    /// Returns the number of entries that the sides report.
     fn entries(&self) -> u32 {
         let sides = self.pool.endpoints.values().filter_map(|endpoint| endpoint.side.as_ref());
         let entries = sides.map(|side| side.entries).max().filter(|entries| *entries > 0);
@@ -447,7 +455,7 @@
         let entries = f64::from(self.entries());
         let profile = &self.profile;
         let budget = self.budgets.entry(service.to_owned()).or_insert_with(|| {
-            RetryBudget::new(profile.retry_ratio * RATIO_PART, profile.retry_window_ms)
+            RetryBudget::new(profile.retry_ratio * RETRY_RATIO_SHARE, profile.retry_window_ms)
         });
         budget.set_slack(profile.retry_slack / (entries + 1.0));
         budget
--- a/crates/pool/src/entry/replicas.rs
+++ b/crates/pool/src/entry/replicas.rs
@@ -1,65 +1,73 @@
-//! How many replicas a model should have, and when another one is asked for.
+//! Number of replicas of each model, and requests for additional ones.
 
 use citronrill_base::ModelKey;
 
 use super::{
     PoolEntry,
-    demand::REFUSED_MS,
-    placement::{HORIZON_S, MISS_MS, Place},
+    demand::REFUSAL_COST_MS,
+    placement::{HORIZON_S, MISS_COST_MS, Place},
 };
 use crate::{
     endpoint::Endpoint,
     text::{EngineSpec, ModelSpec},
 };
 
-/// Requests a second for each slot that one replica answers well within its objective: a request
-/// takes a slot for half a second, and for three quarters once all are taken. Engines of 24 slots
-/// were measured to be full at 34 a second, with 174 ms of waiting at three quarters of the requests.
+/// Requests per second for each slot that one replica serves well within its objective. A request
+/// occupies a slot for half a second, and for three quarters once all are occupied. Engines of 24
+/// slots were full at 34 requests per second, with a wait of 174 ms for three quarters of the
+/// requests.
 const SLOT_RATE: f64 = 0.9;
-/// Requests a second that one replica answers well whatever its slots, as prompts are read one by one
-/// and take 17 ms each: half of the time is left for making tokens.
+/// Requests per second that one replica serves well whatever its slots. Prompts are read one by one
+/// in 17 ms each, which leaves half of the time for generating tokens.
 const REPLICA_RATE: f64 = 30.0;
-/// Requests a second from which a model has [`SPARE_REPLICAS`]: its callers feel the crash of its
-/// only endpoint at once, and a second copy on a disk brings it back in one second instead of six.
+/// Requests per second above which a model gets [`SPARE_REPLICAS`]. Its callers notice a crash of
+/// its only endpoint at once, and weights cached on a second disk bring it back in one second
+/// instead of six.
 const SPARE_RATE: f64 = 6.0;
-/// Replicas of such a model at least.
+/// Minimum replicas of such a model.
 const SPARE_REPLICAS: f64 = 2.0;
-/// Share of a second's requests that a spare replica is worth: an endpoint in twenty crashes within
-/// the horizon, and its model is away for about as long.
+/// Share of a second's requests that a spare replica is worth: one endpoint in twenty crashes
+/// within the horizon, and its model is unavailable for about as long.
 const CRASH_SHARE: f64 = 0.5;
 /// Share of the endpoints that leave or crash within [`HORIZON_S`].
 const LEAVE_SHARE: f64 = 0.05;
-/// Time to the first byte of the quickest replica, as a share of the objective, above which another
-/// one is asked for.
-const LAGGING: f64 = 1.2;
-/// Endpoints to which the weight store brings a model at the same time, at most.
-const REPLICAS_COMING: usize = 2;
-/// Fill of the least busy replica above which another one is asked for.
-pub(super) const CROWDED: f64 = 0.9;
-/// Seconds for which the callers of an endpoint that stands still are lost to it: its side's silence
-/// shows after one, and those who had an event leave after three.
-const HANG_S: f64 = 3.0;
-/// Milliseconds for which another replica is still of use: a load from the weight store takes six
-/// seconds at least.
-const SPREAD_TTL_MS: u64 = 8_000;
+/// Time to first byte of the fastest replica, as a share of the objective, above which another
+/// replica is requested.
+const SLOW_TTFB: f64 = 1.2;
+/// Maximum concurrent loads of one model from the weight store.
+const MAX_REPLICA_LOADS: usize = 2;
+/// Fill level of the least loaded replica above which another one is requested.
+pub(super) const CROWDED_FILL: f64 = 0.9;
+/// Seconds for which the callers of a stalled endpoint get no response: the side's silence is
+/// detected after one second, and callers that had an event disconnect after three.
+const STALL_S: f64 = 3.0;
+/// Milliseconds for which another replica is still useful: a load from the weight store takes at
+/// least six seconds.
+const REPLICA_TTL_MS: u64 = 8_000;
 
 impl PoolEntry {
-    /// Asks for one more replica of each model that has too few for its demand.
-    pub(super) fn spread(&mut self) {
-        let Some(text) = self.text.clone() else { return };
-        for service in &text.services {
+    /// Requests one more replica of each model that has too few for its demand.
+    pub(super) fn add_replicas(&mut self) {
+        let Some(config) = self.config.clone() else { return };
+        for service in &config.services {
             let Some(engine) = &service.engine else { continue };
             for (key, rate) in self.busy_models() {
                 let place = self.replica_place(&service.name, engine, key, rate);
                 if let Some(place) = place {
                     let ready_ms = place.ready_ms as u64;
-                    self.ask(key, &place.instance, place.victims, ready_ms, SPREAD_TTL_MS);
+                    self.send_load_request(
+                        key,
+                        &place.instance,
+                        place.evictions,
+                        ready_ms,
+                        REPLICA_TTL_MS,
+                    );
                 }
             }
         }
     }
 
-    /// Where one more replica of a model is to come to, if it is worth what it costs.
+    /// Returns the place for one more replica of a model, if it is worth its cost.
     fn replica_place(
         &self,
         service: &str,
@@ -68,85 +76,91 @@
         rate: f64,
     ) -> Option<Place> {
         let name = self.names.name(key);
-        let spec = engine.model(name).filter(|_| !self.wants.contains_key(&key))?;
-        let coming = self.coming(key);
+        let spec = engine.model(name).filter(|_| !self.load_requests.contains_key(&key))?;
+        let loading = self.loading_count(key);
         let held = self.live_holders(key).count();
-        let strained = coming == 0 && self.strained(key);
-        let few = ((held + coming) as f64) < desired(rate, engine.slots) || strained;
-        let gain = if few { self.demand_loss(key, rate) } else { spared(rate, held, coming)? };
+        let overloaded = loading == 0 && self.overloaded(key);
+        let few = ((held + loading) as f64) < desired_replicas(rate, engine.slots) || overloaded;
+        let gain =
+            if few { self.demand_loss(key, rate) } else { redundancy_gain(rate, held, loading)? };
         let gain = gain + self.sole_copy_loss(key, rate, spec);
-        // The failure it prevents: a model in demand has one holder, the weight store stands idle, and
-        // no second replica comes, as six seconds of loading outweighed what it saves. Nobody waits
-        // for them while a replica serves at its usual pace.
-        let served = held > 0 && !strained;
-        let cost = |place: &Place| if served { place.spare_cost } else { place.cost };
+        // While a replica serves at its usual pace, no request waits for the new one, so the load
+        // time does not count. Otherwise six seconds of loading outweigh the gain, and a model in
+        // demand keeps a single holder while the weight store is idle.
+        let served = held > 0 && !overloaded;
+        let cost = |place: &Place| if served { place.background_cost } else { place.cost };
         let place = self.place(service, name, key, gain).filter(|place| cost(place) < gain);
-        place.filter(|place| !place.far || self.replica_due(key, coming))
+        place.filter(|place| !place.from_store || self.replica_due(key, loading))
     }
 
-    /// Milliseconds that callers lose while a model has fewer replicas than its demand needs.
+    /// Returns the milliseconds that callers lose while a model has fewer replicas than its demand
+    /// needs.
     fn demand_loss(&self, key: ModelKey, rate: f64) -> f64 {
-        let missed = self.missed(key);
-        MISS_MS * (2.0 + missed * HORIZON_S + rate * CRASH_SHARE)
+        let missed = self.miss_rate(key);
+        MISS_COST_MS * (2.0 + missed * HORIZON_S + rate * CRASH_SHARE)
     }
 
-    /// Whether the weight store may bring one more replica of a model now.
+    /// Returns whether the weight store may load one more replica of a model now.
     ///
-    /// The failure it prevents: endpoints are replaced one after the other and come with empty disks. The
-    /// busiest model was brought to five of them at once, and the next one to six, while the last copies
-    /// of other models in demand went away; with eight loads at once each took 13 s instead of 6. One load
-    /// of a model at a time goes first, for each model that callers miss, and never more than two.
-    fn replica_due(&self, key: ModelKey, coming: usize) -> bool {
-        let first = coming == 0 && self.live_holders(key).next().is_none();
-        first || coming < REPLICAS_COMING && !self.others_away(key)
+    /// During a rolling replacement, endpoints join with empty disks. The busiest model was loaded
+    /// to five of them at once, and the next one to six, while the last cached weights of other
+    /// models in demand were lost; with eight concurrent loads, each took 13 s instead of 6. The
+    /// first load of each model that callers miss therefore has precedence, and a model never has
+    /// more than two loads at once.
+    fn replica_due(&self, key: ModelKey, loading: usize) -> bool {
+        let first = loading == 0 && self.live_holders(key).next().is_none();
+        first || loading < MAX_REPLICA_LOADS && !self.others_missed_more(key)
     }
 
-    /// What callers lose, by chance, as only one endpoint has a copy of a model.
+    /// Returns the expected loss of callers because at most one endpoint has a model's weights
+    /// cached.
     ///
-    /// When that endpoint goes, the model is away for as long as the weight store takes: 13 s on one
-    /// pool, in which 262 callers of a calm day were refused.
+    /// When that endpoint leaves, the model is unavailable for as long as a load from the weight
+    /// store takes. On one pool this took 13 s, and 262 requests were refused on a day with low
+    /// load.
     fn sole_copy_loss(&self, key: ModelKey, rate: f64, spec: &ModelSpec) -> f64 {
-        let open = self.pool.endpoints.values().filter(|one| one.open());
-        if open.filter(|one| one.holding.has_copy(key)).count() > 1 {
+        let open = self.pool.endpoints.values().filter(|endpoint| endpoint.open());
+        if open.filter(|endpoint| endpoint.holding.has_copy(key)).count() > 1 {
             return 0.0;
         }
-        let away_s = spec.store_ms as f64 / 1_000.0;
-        LEAVE_SHARE * rate * away_s * REFUSED_MS
+        let load_s = spec.store_ms as f64 / 1_000.0;
+        LEAVE_SHARE * rate * load_s * REFUSAL_COST_MS
     }
 
-    /// Whether even the least loaded replica of a model is crowded or slow.
-    fn strained(&self, key: ModelKey) -> bool {
-        let running = self.requests.values().filter(|one| one.base == Some(key));
-        let target = running.map(|one| one.target_ms).min();
+    /// Returns whether even the least loaded replica of a model is full or slow.
+    fn overloaded(&self, key: ModelKey) -> bool {
+        let running = self.requests.values().filter(|request| request.base == Some(key));
+        let target = running.map(|request| request.target_ms).min();
         let Some(target) = target else { return false };
-        let strain = |one: &Endpoint| {
-            (one.fill() / CROWDED).max(one.lag(self.now) / target.max(1) as f64 / LAGGING)
+        let overload = |endpoint: &Endpoint| {
+            (endpoint.fill() / CROWDED_FILL)
+                .max(endpoint.lag(self.now) / target.max(1) as f64 / SLOW_TTFB)
         };
-        let least = self.live_holders(key).map(strain).fold(f64::INFINITY, f64::min);
+        let least = self.live_holders(key).map(overload).fold(f64::INFINITY, f64::min);
         least.is_finite() && least > 1.0
     }
 }
 
-/// Replicas that a busy model should have by its requests a second.
-fn desired(rate: f64, slots: u32) -> f64 {
+/// Returns the number of replicas that a busy model should have at this request rate.
+fn desired_replicas(rate: f64, slots: u32) -> f64 {
     let each = REPLICA_RATE.min(SLOT_RATE * f64::from(slots.max(1)));
     let spare = if rate > SPARE_RATE { SPARE_REPLICAS } else { 1.0 };
     (rate / each).ceil().max(spare)
 }
 
-/// Milliseconds that one more replica spares callers by chance, where the `held` ones carry the load; `None`
-/// while another one is `coming`.
-fn spared(rate: f64, held: usize, coming: usize) -> Option<f64> {
+/// Returns the expected milliseconds that one more replica saves callers while the `held` ones
+/// carry the load; `None` while another one is being loaded.
+fn redundancy_gain(rate: f64, held: usize, loading: usize) -> Option<f64> {
     let live = held as f64;
-    (held > 0 && coming == 0).then(|| hang_loss(rate, live) - hang_loss(rate, live + 1.0))
+    (held > 0 && loading == 0).then(|| stall_loss(rate, live) - stall_loss(rate, live + 1.0))
 }
 
-/// Milliseconds that callers of a model lose by chance, within [`HORIZON_S`], as the instance of one of its
-/// replicas stands still or crashes.
+/// Returns the expected milliseconds that callers of a model lose within [`HORIZON_S`] because an
+/// instance with one of its replicas stalls or crashes.
 ///
-/// The failure that it weighs: half of all streams run at one endpoint, as its model has two holders that
-/// carry it well. The instance stands still, and all of them hang until their callers leave: nothing ends a
-/// run there before the instance wakes.
-fn hang_loss(rate: f64, replicas: f64) -> f64 {
-    LEAVE_SHARE * rate / replicas * HANG_S * REFUSED_MS
+/// If a model's two holders carry it well, half of its streams run at each. When one instance
+/// stalls, all streams there hang until their callers disconnect: no run ends before the instance
+/// resumes.
+fn stall_loss(rate: f64, replicas: f64) -> f64 {
+    LEAVE_SHARE * rate / replicas * STALL_S * REFUSAL_COST_MS
 }
--- a/crates/pool/src/entry/silence.rs
+++ b/crates/pool/src/entry/silence.rs
@@ -1,46 +1,49 @@
-//! Endpoints whose instance stands still, and what goes on elsewhere meanwhile.
+//! Detection of stalled instances, and failover of their requests.
 //!
-//! The load pattern that this answers: an instance stands still for seconds under many streams. Nothing there
-//! ends before it wakes: whoever was sent there hangs until it leaves, and its run goes on.
+//! An instance with many open streams may stall for seconds. None of its streams ends before it
+//! resumes: its callers hang until they disconnect, and the runs continue.
 
 use citronrill_decide::LogEvent;
 
-use super::{EntryEffect, PoolEntry, Request, RequestId, SEND_LIMIT, Stage};
+use super::{EntryEffect, MAX_DISPATCHES, PoolEntry, Request, RequestId, Stage};
 use crate::{endpoint::DARK_MS, text::Repeat};
 
-/// Milliseconds between two looks at the clock above which this process itself stood still: what others
-/// said meanwhile has not been read yet.
+/// Milliseconds between two deadline checks above which this process itself was paused. Messages
+/// that arrived meanwhile have not been read yet.
 const OWN_PAUSE_MS: u64 = 60;
-/// The same without requests, when looks are rarer.
+/// The same limit without requests, when checks are less frequent.
 const IDLE_PAUSE_MS: u64 = 260;
 
 impl PoolEntry {
-    /// Takes word that answers of these requests have gone on.
+    /// Records that the responses of these requests have made progress.
     pub(super) fn progress(&mut self, ids: &[RequestId]) {
         for id in ids {
             let Some(request) = self.requests.get_mut(id) else { continue };
-            if request.stage != Stage::Passing {
+            if request.stage != Stage::Responding {
                 continue;
             }
-            request.moving = true;
-            let endpoint = request.at.as_ref().and_then(|at| self.pool.endpoints.get_mut(at));
+            request.has_progress = true;
+            let endpoint = request
+                .instance
+                .as_ref()
+                .and_then(|instance| self.pool.endpoints.get_mut(instance));
             if let Some(endpoint) = endpoint {
                 endpoint.life.hear(self.now);
             }
         }
     }
 
-    /// Leaves out of account what this process has not seen as it stood still itself.
-    pub(super) fn excuse_pause(&mut self) {
-        let paused = self.now.since(self.ticked);
-        let usual = if self.requests.is_empty() { IDLE_PAUSE_MS } else { OWN_PAUSE_MS };
-        if paused > usual {
-            self.pool.endpoints.values_mut().for_each(|one| one.life.excuse(paused));
+    /// Excludes pauses of this process from the liveness timeouts.
+    pub(super) fn exclude_pause(&mut self) {
+        let paused = self.now.since(self.last_check);
+        let limit = if self.requests.is_empty() { IDLE_PAUSE_MS } else { OWN_PAUSE_MS };
+        if paused > limit {
+            self.pool.endpoints.values_mut().for_each(|endpoint| endpoint.life.excuse(paused));
         }
     }
 
-    /// Probes the sides of endpoints that have requests and give no sign of life.
-    pub(super) fn watch(&mut self) {
+    /// Probes the sides of endpoints that have requests and show no activity.
+    pub(super) fn probe_sides(&mut self) {
         let now = self.now;
         let mut events = Vec::new();
         for (instance, endpoint) in &mut self.pool.endpoints {
@@ -61,79 +64,86 @@
         events.into_iter().for_each(|event| self.log(event));
     }
 
-    /// Has what may go on elsewhere leave endpoints that stand still.
+    /// Fails over requests from stalled endpoints where that is permitted.
     ///
-    /// A stream that may be resumed goes on after its last event, and what has no answer yet and may run again
-    /// is sent again. Anything else stays: the endpoint goes on with it when it wakes, and two would be at
-    /// work on one run, also where a copy of its memory is elsewhere.
-    pub(super) fn leave_silent(&mut self) {
-        let stuck = self.requests.iter().filter(|(_, one)| self.is_stuck(one));
+    /// A resumable stream continues after its last event, and a request that has no response yet
+    /// and may run again is retried. All other requests stay: the endpoint continues with them when
+    /// it resumes, and two endpoints would then work on one run, even where a copy of its KV cache
+    /// exists elsewhere.
+    pub(super) fn fail_over_stalled(&mut self) {
+        let stuck = self.requests.iter().filter(|(_, request)| self.is_stuck(request));
         for id in stuck.map(|(id, _)| *id).collect::<Vec<_>>() {
             let Some(request) = self.requests.get(&id) else { continue };
-            let passing = request.stage == Stage::Passing;
-            if !self.may_run_anew(request) || !self.pay(id) {
+            let responding = request.stage == Stage::Responding;
+            if !self.may_retry(request) || !self.charge_retry(id) {
                 continue;
             }
-            if passing {
-                self.log_moved(id, true);
+            if responding {
+                self.log_failover(id, true);
                 self.effects.push(EntryEffect::Abandon(id));
             } else {
-                self.send_elsewhere(id);
+                self.fail_over(id);
             }
         }
     }
 
-    /// Sends a request elsewhere that its endpoint has not begun to answer.
-    pub(super) fn send_elsewhere(&mut self, id: RequestId) {
-        self.log_moved(id, false);
-        self.give_up_on(id);
-        self.dispatch(id);
+    /// Retries a request on another endpoint before its current one has started to respond.
+    pub(super) fn fail_over(&mut self, id: RequestId) {
+        self.log_failover(id, false);
+        self.abandon_attempt(id);
+        self.schedule(id);
     }
 
-    fn log_moved(&mut self, id: RequestId, begun: bool) {
+    fn log_failover(&mut self, id: RequestId, responding: bool) {
         let Some(request) = self.requests.get(&id) else { return };
-        let event = LogEvent::new("moved").with("id", &request.caller);
-        let event = event.with("from", request.at.as_deref().unwrap_or(""));
-        self.log(event.with("begun", begun));
+        let event = LogEvent::new("moved").with("id", &request.caller_id);
+        let event = event.with("from", request.instance.as_deref().unwrap_or(""));
+        self.log(event.with("begun", responding));
     }
 
-    /// Whether a request was sent to an endpoint that stands still, and nothing is done about it yet.
+    /// Returns whether a request is at a stalled endpoint and no retry has been charged for it.
     fn is_stuck(&self, request: &Request) -> bool {
-        let endpoint = request.at.as_ref().and_then(|at| self.pool.endpoints.get(at));
-        let silent = endpoint.is_some_and(|one| one.life.silent(self.now));
-        silent && request.stage != Stage::Waiting && !request.paid && request.sends < SEND_LIMIT
+        let endpoint =
+            request.instance.as_ref().and_then(|instance| self.pool.endpoints.get(instance));
+        let silent = endpoint.is_some_and(|endpoint| endpoint.life.silent(self.now));
+        silent
+            && request.stage != Stage::Waiting
+            && !request.retry_charged
+            && request.dispatches < MAX_DISPATCHES
     }
 
-    /// Whether a request may begin anew, and an endpoint with room could run it.
-    fn may_run_anew(&self, request: &Request) -> bool {
+    /// Returns whether a request may be retried, and another endpoint has room for it.
+    fn may_retry(&self, request: &Request) -> bool {
         let allowed = match request.stage {
-            Stage::Passing => request.repeat == Repeat::ResumableStream && request.moving,
+            Stage::Responding => request.repeat == Repeat::ResumableStream && request.has_progress,
             Stage::Sent => request.repeat.may_rerun(),
             Stage::Waiting => false,
         };
-        allowed && request.runs + 1 < request.attempts && self.has_room_elsewhere(request)
+        allowed && request.runs + 1 < request.max_attempts && self.has_room_elsewhere(request)
     }
 
-    /// Whether another endpoint that holds what a request needs has a free slot.
+    /// Returns whether another endpoint that can run the request has a free slot.
     pub(super) fn has_room_elsewhere(&self, request: &Request) -> bool {
         self.pool.endpoints.values().any(|endpoint| {
-            Some(&endpoint.member.instance) != request.at.as_ref()
-                && self.able(endpoint, request)
+            Some(&endpoint.member.instance) != request.instance.as_ref()
+                && self.eligible(endpoint, request)
                 && endpoint.fill() < 1.0
         })
     }
 
-    /// Whether the callers of a model wait for a holder that may only pause.
+    /// Returns whether a stalled holder of a request's model may just be paused.
     ///
-    /// An instance that stands still for less than a second serves them sooner than the weight store, or than
-    /// their own return after a refusal.
-    pub(super) fn holder_pauses(&self, request: &Request) -> bool {
+    /// An instance that stalls for less than a second serves its callers sooner than a load from
+    /// the weight store, or a retry after a refusal.
+    pub(super) fn holder_paused(&self, request: &Request) -> bool {
         let Some(base) = request.base else { return false };
-        let mut endpoints = self.pool.endpoints.values().filter(|one| {
-            one.open()
-                && one.member.service == request.service
-                && one.holding.models.contains(&base)
+        let mut endpoints = self.pool.endpoints.values().filter(|endpoint| {
+            endpoint.open()
+                && endpoint.member.service == request.service
+                && endpoint.holding.models.contains(&base)
         });
-        endpoints.any(|one| one.life.silent(self.now) && one.life.quiet_ms(self.now) < DARK_MS)
+        endpoints.any(|endpoint| {
+            endpoint.life.silent(self.now) && endpoint.life.quiet_ms(self.now) < DARK_MS
+        })
     }
 }
--- a/crates/pool/src/entry/store_limit.rs
+++ b/crates/pool/src/entry/store_limit.rs
@@ -1,66 +1,73 @@
-//! How many loads from the weight store may run at once.
+//! Limit on concurrent loads from the weight store.
 
 use citronrill_base::{Map, Millis};
 
 use crate::text::LATE_LOAD;
 
-/// Loads at once before anything is known of the store.
-const FIRST_LIMIT: u32 = 3;
-/// Loads at once at most; beyond that each only holds up its endpoint for longer.
-const LAST_LIMIT: u32 = 8;
-/// Milliseconds after a slow load for which the limit is not raised: a store does not change its pace from
-/// one load to the next.
-const SLOW_MEMORY_MS: u64 = 60_000;
+/// Initial limit.
+const INITIAL_LIMIT: u32 = 3;
+/// Maximum limit; further loads only occupy their endpoints for longer.
+const MAX_LIMIT: u32 = 8;
+/// Milliseconds after a slow load during which the limit is not raised: the store's speed does not
+/// change from one load to the next.
+const SLOW_HOLD_MS: u64 = 60_000;
 
-/// Finds the number of loads that the weight store carries at full speed.
+/// Estimates how many concurrent loads the weight store carries at full speed.
 ///
-/// A load beyond that number takes longer in proportion to how many there are when it begins, so that more at
-/// once bring nothing, and each holds its endpoint, which takes no other order meanwhile. The number is
-/// nowhere told. It is doubled after as many as are allowed took their usual time. A load that is late tells
-/// it while it is under way: one that began beside two others and takes three times as long shows that one
-/// would have been at full speed.
+/// Loads beyond that number slow down in proportion to the concurrency at their start. More
+/// concurrent loads gain nothing, and each occupies its endpoint, which takes no other order
+/// meanwhile. The number is not configured anywhere. The limit is doubled after a load at full
+/// concurrency completed in its usual time. A late load lowers it while still in progress: one that
+/// started beside two others and takes three times as long shows that the store carries one load at
+/// full speed.
 #[derive(Debug, Clone)]
 pub(super) struct StoreLimit {
     limit: u32,
-    ended: Map<String, u32>,
-    slowed: Option<Millis>,
+    last_slowdown: Map<String, u32>,
+    slowed_at: Option<Millis>,
 }
 
 impl Default for StoreLimit {
     fn default() -> StoreLimit {
-        StoreLimit { limit: FIRST_LIMIT, ended: Map::default(), slowed: None }
+        StoreLimit { limit: INITIAL_LIMIT, last_slowdown: Map::default(), slowed_at: None }
     }
 }
 
 impl StoreLimit {
-    /// Loads at once that are allowed.
+    /// Returns the maximum number of concurrent loads.
     pub(super) fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Takes the time of an endpoint's last load, which began as one of `loads`.
-    pub(super) fn hear_ended(&mut self, instance: &str, slow: u32, loads: u32, now: Millis) {
-        if slow == 0 || self.ended.get(instance) == Some(&slow) {
+    /// Records the duration of an endpoint's last load, which started as one of `loads`.
+    pub(super) fn record_finished(
+        &mut self,
+        instance: &str,
+        slowdown: u32,
+        loads: u32,
+        now: Millis,
+    ) {
+        if slowdown == 0 || self.last_slowdown.get(instance) == Some(&slowdown) {
             return;
         }
-        self.ended.insert(instance.to_owned(), slow);
-        let known = self.slowed.is_some_and(|at| now.since(at) < SLOW_MEMORY_MS);
-        if slow >= LATE_LOAD {
-            self.lower(slow, loads, now);
-        } else if loads >= self.limit && !known {
-            self.limit = (self.limit * 2).min(LAST_LIMIT);
+        self.last_slowdown.insert(instance.to_owned(), slowdown);
+        let slowed_recently = self.slowed_at.is_some_and(|at| now.since(at) < SLOW_HOLD_MS);
+        if slowdown >= LATE_LOAD {
+            self.lower(slowdown, loads, now);
+        } else if loads >= self.limit && !slowed_recently {
+            self.limit = (self.limit * 2).min(MAX_LIMIT);
         }
     }
 
-    /// Takes how late a load under way is, which began as one of `loads`.
-    pub(super) fn hear_late(&mut self, slow: u32, loads: u32, now: Millis) {
-        if slow >= LATE_LOAD {
-            self.lower(slow, loads, now);
+    /// Records how late an active load is that started as one of `loads`.
+    pub(super) fn record_late(&mut self, slowdown: u32, loads: u32, now: Millis) {
+        if slowdown >= LATE_LOAD {
+            self.lower(slowdown, loads, now);
         }
     }
 
-    fn lower(&mut self, slow: u32, loads: u32, now: Millis) {
-        self.slowed = Some(now);
-        self.limit = self.limit.min(loads * 1_000 / slow).max(1);
+    fn lower(&mut self, slowdown: u32, loads: u32, now: Millis) {
+        self.slowed_at = Some(now);
+        self.limit = self.limit.min(loads * 1_000 / slowdown).max(1);
     }
 }
--- a/crates/pool/src/entry/types.rs
+++ b/crates/pool/src/entry/types.rs
@@ -1,4 +1,4 @@
-//! Events, effects and small types of the entry's reducer.
+//! Events, effects and basic types of the entry's state machine.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -7,33 +7,33 @@
 
 use crate::{member::MemberChange, text::ServingText};
 
-/// Names one request of one process.
+/// Identifies a request within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// What does not change while an entry runs.
+/// Settings that do not change while an entry runs.
 #[derive(Debug, Clone)]
 pub struct EntryProfile {
     /// The entry's availability zone.
     pub zone: String,
-    /// A number of its own, by which entries take turns.
+    /// A number unique to the entry, by which entries take turns.
     pub seed: u64,
-    /// Second sends allowed, as a share of requests.
+    /// Permitted retries, as a share of requests.
     pub retry_ratio: f64,
-    /// Second sends allowed besides, over all entries.
+    /// Permitted retries in addition, over all entries.
     pub retry_slack: f64,
     /// The window of both, in milliseconds.
     pub retry_window_ms: u64,
 }
 
-/// A request that was read whole.
+/// A request that was received completely.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// The name that this process gave it.
+    /// The ID assigned by this process.
     pub id: RequestId,
-    /// The name that its caller gave it, for logs.
+    /// The ID assigned by the caller, for logs.
     pub caller: String,
-    /// The host that the caller named.
+    /// The requested host.
     pub host: String,
     /// The path, without the query.
     pub path: String,
@@ -41,46 +41,46 @@
     pub deadline_ms: Option<u64>,
     /// The model, and an adapter after a slash; empty for a plain service.
     pub model: String,
-    /// A hash of the part of the prompt that is shared most widely; 0 if there is none.
+    /// A hash of the most widely shared part of the prompt; 0 if there is none.
     pub prefix: u64,
-    /// How long it is, as its caller tells.
+    /// Length in tokens, as declared by the caller.
     pub tokens: TokenCount,
 }
 
-/// How long a request is.
+/// Length of a request in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TokenCount {
-    /// Tokens of the prompt; 0 if they are not told.
+    /// Tokens of the prompt; 0 if unknown.
     pub prompt: u32,
-    /// Tokens of the longest answer that its caller takes; 0 if they are not told.
+    /// Maximum tokens of the response; 0 if unknown.
     pub answer: u32,
 }
 
-/// The head of an endpoint's answer.
+/// Head of an endpoint's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AnswerHead {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// Whether the endpoint says that the request has not run.
+    /// Whether the endpoint states that the request has not run.
     pub not_run: bool,
-    /// Whether the answer bears the endpoint's signature.
+    /// Whether the response carries the endpoint's signature.
     pub signed: bool,
-    /// Whether the answer names another request, or none though one was due.
+    /// Whether the response names another request, or none although one was required.
     pub foreign: bool,
-    /// Whether another start of an endpoint answered than the one that was meant.
+    /// Whether another incarnation of an endpoint answered than the intended one.
     pub elsewhere: bool,
-    /// Requests that run and wait there, if told.
+    /// Requests that run and wait there, if reported.
     pub load: Option<u32>,
 }
 
 impl AnswerHead {
-    /// Whether the status says that the request was served.
+    /// Returns whether the status means that the request was served.
     pub fn success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 }
 
-/// How a sending failed without an answer.
+/// How a dispatch failed without a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureKind {
     /// No connection was made: the request has not run.
@@ -92,109 +92,111 @@
 /// How the connection to a side was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SideLoss {
-    /// The other end closed it, or takes none: the side has ended, and its instance runs.
+    /// The peer closed it or refuses new ones: the side has ended, but its instance runs.
     Closed,
-    /// Nothing came for too long.
+    /// Nothing was received for too long.
     Silent,
 }
 
-/// What happens at an entry.
+/// Input of the state machine.
 #[derive(Debug, Clone)]
 pub enum EntryEvent {
-    /// A text was read, from the platform or a peer.
+    /// A configuration was received from the platform store or a peer.
     Text(Arc<ServingText>),
-    /// Whether the store answers for its text, so that the one in force is known to be the newest.
+    /// Whether the platform store has confirmed that the active configuration is the newest.
     TextCurrent(bool),
-    /// The list of instances has changed.
+    /// The member list has changed.
     Members(MemberChange),
-    /// A side spoke; the address is its endpoint's.
+    /// A side reported its state; the address is its endpoint's.
     Side(SocketAddr, SideState),
-    /// The side beside the endpoint at this address answered a probe.
+    /// The side of the endpoint at this address replied to a probe.
     Alive(SocketAddr),
-    /// The connection to the side beside the endpoint at this address is lost.
+    /// The connection to the side of the endpoint at this address was lost.
     SideLost(SocketAddr, SideLoss),
-    /// The side beside the endpoint at this address will not fetch what was asked for.
+    /// The side of the endpoint at this address declined a load request.
     Declined(SocketAddr, ModelName),
-    /// A request was read.
+    /// A request was received.
     Arrive(Arrival),
-    /// An endpoint began to answer the sending of this number.
+    /// An endpoint started to respond to the dispatch with this number.
     Answer(RequestId, u32, AnswerHead),
-    /// The sending of this number failed before an answer.
+    /// The dispatch with this number failed before a response.
     Fail(RequestId, u32, FailureKind),
-    /// The answers of these requests have gone on.
+    /// The responses of these requests have made progress.
     Progress(Vec<RequestId>),
-    /// The answer has ended; whether it was complete.
+    /// The response has ended; whether it was complete.
     Finish(RequestId, bool),
-    /// The endpoint broke a stream off; the last event that its caller had, if any.
+    /// The endpoint broke off a stream; carries the last event delivered to the caller, if any.
     Broke(RequestId, Option<u64>),
-    /// The caller has left.
+    /// The caller has disconnected.
     Leave(RequestId),
-    /// A planned stop has begun: nothing waits longer than the first number of milliseconds from
-    /// now, and nothing is unanswered after the second.
+    /// A planned stop has begun: no request waits for longer than the first number of milliseconds
+    /// from now, and none is without a response after the second.
     Stop(u64, u64),
-    /// Time has passed, and other events have come meanwhile: only what cannot wait is looked at.
+    /// A timer has fired while other events were being processed: only urgent deadlines are
+    /// checked.
     Look,
-    /// Time has passed.
+    /// A timer has fired.
     Tick,
 }
 
-/// One sending of a request.
+/// One dispatch of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sending {
-    /// Counts the sendings of the request from 1.
+    /// Number of the dispatch within the request, from 1.
     pub number: u32,
-    /// Where to.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// The instance that is meant.
+    /// The intended instance.
     pub instance: String,
-    /// Milliseconds that are left to it.
+    /// Milliseconds until the request's deadline.
     pub remaining_ms: u64,
-    /// Its place in the endpoint's queue, 0 first.
+    /// Priority in the endpoint's queue, 0 first.
     pub urgency: u8,
-    /// Where the endpoint is to copy the run's memory.
+    /// Where the endpoint is to copy the run's KV cache.
     pub backup: Option<SocketAddr>,
-    /// Set where an answer that has begun, or a run that broke off, goes on.
+    /// Set when a response that has started, or a run that broke off, is resumed.
     pub resume: Option<Resume>,
 }
 
-/// How a run goes on that broke off elsewhere.
+/// How a run that broke off at another endpoint is resumed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Resume {
-    /// The last event that the caller had; `None` if it had none.
+    /// The last event delivered to the caller; `None` if there was none.
     pub after: Option<u64>,
-    /// Whether the endpoint has a copy of the run's memory, from which it must go on or not run.
+    /// Whether the endpoint has a copy of the run's KV cache; it must then resume from the copy or
+    /// not run at all.
     pub copy: bool,
 }
 
 /// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// No text is known yet.
+    /// No configuration is known yet.
     NoText,
-    /// No route leads there.
+    /// No route matches.
     NoRoute,
-    /// The model is not one of the service's.
+    /// The service does not have the model.
     NoModel,
-    /// No route leads there, or no such model, by a text that may be old.
+    /// No route or model matches, but the configuration may be out of date.
     OldText,
     /// No endpoint can run it.
     NoEndpoint,
     /// Every endpoint that could run it is full.
     Full,
-    /// The model cannot be there in time.
+    /// The model cannot be ready in time.
     TooFar,
-    /// Its time is up and it has not run.
+    /// Its deadline has passed and it has not run.
     Expired,
     /// The entry is stopping, and it has not run.
     Stopping,
-    /// Its time is up and it may have run.
+    /// Its deadline has passed and it may have run.
     TimedOut,
     /// The endpoint failed it, and it may have run.
     Broken,
 }
 
 impl Reason {
-    /// A fixed word for logs and metrics.
+    /// Returns the fixed name for logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Reason::NoText => "no_text",
@@ -211,9 +213,9 @@
         }
     }
 
-    /// The status that says so.
+    /// Returns the HTTP status.
     ///
-    /// 503 promises that the request has not run and never will; 502 and 504 promise nothing.
+    /// 503 guarantees that the request has not run and never will; 502 and 504 guarantee nothing.
     pub fn status(self) -> u16 {
         match self {
             Reason::NoRoute | Reason::NoModel => 404,
@@ -230,46 +232,46 @@
     }
 }
 
-/// A final answer of the system's own.
+/// A final response generated by the entry itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// Milliseconds after which the caller may come back.
+    /// Milliseconds after which the caller may retry.
     pub retry_ms: Option<u64>,
 }
 
-/// What an entry does.
+/// Output of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryEffect {
-    /// Send the request.
+    /// Dispatch the request.
     Send(RequestId, Sending),
-    /// Give the endpoint's answer to the caller.
+    /// Forward the endpoint's response to the caller.
     Pass(RequestId),
-    /// Give an answer of the system's own.
+    /// Refuse the request with a response of the entry's own.
     Refuse(RequestId, Refusal),
-    /// Break off an answer that is being given: its time is up.
+    /// Cut off a response that is being forwarded and cannot be completed.
     Cut(RequestId),
-    /// Leave the endpoint that gives an answer, as if it had broken the stream off.
+    /// Disconnect from the responding endpoint, as if it had broken off the stream.
     Abandon(RequestId),
-    /// Ask the side beside the endpoint at this address for a sign of life.
+    /// Send a liveness probe to the side of the endpoint at this address.
     Probe(SocketAddr),
-    /// Ask the side beside the endpoint at this address for a model.
+    /// Send a load request to the side of the endpoint at this address.
     Want(SocketAddr, Want),
-    /// Tell the side beside the endpoint at this address of a request.
+    /// Report the use or miss of a model to the side of the endpoint at this address.
     Used(SocketAddr, Usage),
-    /// Keep connections to the sides beside these endpoints, and to no others.
+    /// Keep connections to the sides of these endpoints, and to no others.
     Sides(Vec<SocketAddr>),
     /// Write a log line.
     Log(LogEvent),
 }
 
-/// What becomes of an answer.
+/// What to do with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes to the caller.
+    /// Forward it to the caller.
     Pass,
-    /// The request has not run: it may go elsewhere whatever its kind.
+    /// The request has not run: it may be retried whatever its kind.
     NotRun,
     /// The request has run and failed, or may have.
     Failed,
--- a/crates/pool/src/entry/wants.rs
+++ b/crates/pool/src/entry/wants.rs
@@ -1,4 +1,4 @@
-//! What an entry asks sides for, and what waits for it.
+//! Load requests to sides, and the requests that wait for them.
 
 use std::net::SocketAddr;
 
@@ -6,83 +6,88 @@
 use citronrill_decide::LogEvent;
 use citronrill_wire::Want;
 
-use super::{EntryEffect, PoolEntry, Reason, Request, RequestId, Stage, placement::MISS_MS};
+use super::{EntryEffect, PoolEntry, Reason, Request, RequestId, Stage, placement::MISS_COST_MS};
 use crate::{
     endpoint::{DECLINED_MS, Endpoint},
     member::full_name,
 };
 
-/// Milliseconds of other callers' waiting that one waiting request may cost at most.
+/// Maximum delay, in milliseconds, that one waiting request may cause to other callers.
 ///
-/// Answers a burst of rare models beyond what the engines can swap: every model that may make way is
-/// promised already, and what is left are the busy ones. Without the bound the last replica of a model
-/// with 48 requests a second was unloaded for a single one; with it whoever asks for a rare model waits
-/// for a place among those, and models from some three requests a second on stay.
-pub(super) const WAITER_MS: f64 = 4.0 * MISS_MS;
-/// Milliseconds that another endpoint must be quicker by to be asked for a model that is on its way.
-const AGAIN_MS: f64 = 500.0;
-/// Milliseconds after which a side that was asked and shows nothing is given up for another.
-const UNHEARD_MS: u64 = 400;
-/// Milliseconds of an order under way that weigh like a whole batch when an adapter is to be fetched:
-/// the endpoint takes no other order meanwhile, and half of the objective of a chat is over.
-const BUSY_HOLDER_MS: f64 = 250.0;
-/// Milliseconds for which a request waits at least while no endpoint has a place for its model: the
-/// orders under way at the endpoints end within about a second and make new places.
-const PLACE_MS: u64 = 2_500;
+/// This applies to a burst of rare models beyond the engines' swap capacity, when every rarely used
+/// model is already reserved for eviction and only the busy ones are left. Without the bound, the
+/// last replica of a model with 48 requests per second was unloaded for a single request. With it,
+/// callers of a rare model wait for one of the reserved places, and models from about three
+/// requests per second on stay loaded.
+pub(super) const DELAY_PER_WAITER_MS: f64 = 4.0 * MISS_COST_MS;
+/// Minimum time, in milliseconds, by which another endpoint must be faster to load a model that is
+/// already being loaded.
+const DUPLICATE_GAIN_MS: f64 = 500.0;
+/// Milliseconds without confirmation after which a load request is abandoned for another side.
+const CONFIRM_TIMEOUT_MS: u64 = 400;
+/// Remaining milliseconds of an active order that cost as much as a full batch when choosing where
+/// to load an adapter. The endpoint takes no other order meanwhile, and half of the latency
+/// objective of a chat request passes.
+const ORDER_DELAY_MS: f64 = 250.0;
+/// Minimum milliseconds that a request waits while no endpoint has a place for its model. The
+/// active orders at the endpoints end within about a second and free places.
+const PLACE_WAIT_MS: u64 = 2_500;
 
-/// Milliseconds until an adapter is there at an endpoint that is free, measured with the look that
-/// shows it.
+/// Milliseconds until an idle endpoint has loaded an adapter, including the poll that reports it.
 const ADAPTER_READY_MS: u64 = 25;
 
-/// A model or adapter that this entry has asked for.
+/// Load request of this entry for a model or adapter.
 #[derive(Debug, Clone)]
-pub(super) struct OpenWant {
+pub(super) struct LoadRequest {
     pub(super) instance: String,
     address: SocketAddr,
-    asked: Millis,
-    until: Millis,
-    /// When it should be there.
-    ready: Millis,
-    pub(super) seen: bool,
+    sent: Millis,
+    expires: Millis,
+    /// Expected time of completion.
+    expected: Millis,
+    pub(super) confirmed: bool,
     /// Whether it is a load from the weight store.
-    pub(super) far: bool,
-    /// The side has declined; nothing is asked for again before `until`.
+    pub(super) from_store: bool,
+    /// Whether the side has declined; no new load request is sent before `expires`.
     pub(super) declined: bool,
 }
 
-impl OpenWant {
-    /// Whether the side beside the endpoint at `address` was asked.
-    pub(super) fn is_at(&self, address: SocketAddr) -> bool {
+impl LoadRequest {
+    /// Returns whether the load request went to the side of the endpoint at `address`.
+    pub(super) fn sent_to(&self, address: SocketAddr) -> bool {
         self.address == address
     }
 
-    /// Takes the word of the side beside the endpoint at `address` that it declines.
+    /// Records that the side of the endpoint at `address` has declined.
     ///
-    /// The want stays for a while as a pause: asking again at once, with every event, was measured
-    /// to make thousands of messages a second while a side's plan was full.
+    /// The load request is kept as a backoff: new ones on every event made thousands of messages a
+    /// second while a side's queue was full.
     pub(super) fn decline(&mut self, address: SocketAddr, now: Millis) {
-        if self.is_at(address) {
+        if self.sent_to(address) {
             self.declined = true;
-            self.until = now + DECLINED_MS;
+            self.expires = now + DECLINED_MS;
         }
     }
 }
 
 impl PoolEntry {
-    /// Asks for what a waiting request needs, unless that is under way.
-    pub(super) fn want(&mut self, id: RequestId) {
+    /// Requests the model or adapter that a waiting request needs, unless it is already being
+    /// loaded.
+    pub(super) fn request_model(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let (Some(target), Some(base)) = (request.target, request.base) else { return };
-        // One more replica that is under way helps nobody who needs an adapter: while a holder lives, the
-        // adapter is fetched there. Held up behind the replica, its callers waited 6 s and left.
-        let held_up = self.wants.contains_key(&base) && self.live_holders(base).next().is_none();
-        if self.wants.contains_key(&target) || held_up {
-            self.check_arrival(id, target, base);
+        let (Some(required), Some(base)) = (request.required, request.base) else { return };
+        // An additional replica that is being loaded does not help requests for an adapter: while
+        // the model has a live holder, the adapter is loaded there. Callers that had to wait for
+        // the replica waited 6 s and disconnected.
+        let blocked =
+            self.load_requests.contains_key(&base) && self.live_holders(base).next().is_none();
+        if self.load_requests.contains_key(&required) || blocked {
+            self.check_load(id, required, base);
             return;
         }
         let adapter = request.adapter.clone();
         let left = request.wait_ms(self.now);
-        let pauses = self.holder_pauses(request);
+        let paused = self.holder_paused(request);
         let held = |endpoint: &&Endpoint| {
             endpoint.open()
                 && endpoint.holding.keys.contains(&base)
@@ -92,141 +97,164 @@
         };
         if !adapter.is_empty() {
             let holders = self.pool.endpoints.values().filter(held);
-            let cost = |one: &&Endpoint| self.adapter_cost(one, &request.model, &adapter);
+            let cost = |endpoint: &&Endpoint| self.adapter_cost(endpoint, &request.model, &adapter);
             let best = holders.min_by(|a, b| cost(a).total_cmp(&cost(b)));
             if let Some(best) = best {
                 let instance = best.member.instance.clone();
-                self.ask(target, &instance, Vec::new(), ADAPTER_READY_MS, left);
+                self.send_load_request(required, &instance, Vec::new(), ADAPTER_READY_MS, left);
                 return;
             }
         }
-        if self.holder_unheard(base) {
+        if self.holder_unconfirmed(base) {
             return;
         }
-        let worth = self.waiting_for(base) * WAITER_MS;
-        let place = self.place(&request.service, &request.model, base, worth);
-        let place = place.filter(|place| !(pauses && place.far));
-        if let Some(coming_ms) = self.coming_ms(base) {
-            let sooner = place.as_ref().is_some_and(|one| one.ready_ms + AGAIN_MS < coming_ms);
+        let max_loss = self.waiting_count(base) * DELAY_PER_WAITER_MS;
+        let place = self.place(&request.service, &request.model, base, max_loss);
+        let place = place.filter(|place| !(paused && place.from_store));
+        if let Some(remaining_ms) = self.load_remaining_ms(base) {
+            let sooner = place
+                .as_ref()
+                .is_some_and(|place| place.ready_ms + DUPLICATE_GAIN_MS < remaining_ms);
             if !sooner {
-                if coming_ms > left as f64 {
-                    self.refuse_far(id, base);
+                if remaining_ms > left as f64 {
+                    self.refuse_too_late(id, base);
                 }
                 return;
             }
         }
         let Some(place) = place else {
-            self.await_place(id, base);
+            self.wait_for_place(id, base);
             return;
         };
         if place.ready_ms > left as f64 {
-            // Too late for this one; but others will ask, and without a load it stays too late.
+            // Too late for this request. Later requests need the model too, so load it anyway.
             let ttl_ms = (2.0 * place.ready_ms) as u64;
-            self.ask(base, &place.instance, place.victims, place.ready_ms as u64, ttl_ms);
-            self.refuse_far(id, base);
+            self.send_load_request(
+                base,
+                &place.instance,
+                place.evictions,
+                place.ready_ms as u64,
+                ttl_ms,
+            );
+            self.refuse_too_late(id, base);
             return;
         }
-        self.ask(base, &place.instance, place.victims, place.ready_ms as u64, left);
+        self.send_load_request(base, &place.instance, place.evictions, place.ready_ms as u64, left);
     }
 
-    /// Refuses a request whose model comes too late, unless a holder may only pause.
-    fn refuse_far(&mut self, id: RequestId, base: ModelKey) {
-        self.miss(id, base);
-        let pauses = self.requests.get(&id).is_some_and(|one| self.holder_pauses(one));
-        if !pauses {
+    /// Refuses a request whose model will be loaded too late, unless a holder may only be paused.
+    fn refuse_too_late(&mut self, id: RequestId, base: ModelKey) {
+        self.count_miss(id, base);
+        let paused = self.requests.get(&id).is_some_and(|request| self.holder_paused(request));
+        if !paused {
             self.refuse(id, Reason::TooFar);
         }
     }
 
-    /// Whether an endpoint is listed as a holder of a model, and its side is about to tell whether it still is.
-    fn holder_unheard(&self, model: ModelKey) -> bool {
-        let mut holders = self.pool.endpoints.values().filter(|one| one.open());
-        holders.any(|one| one.unconfirmed(self.now) && one.holding.models.contains(&model))
+    /// Returns whether an endpoint is listed as a holder of a model and its side has yet to confirm
+    /// that.
+    fn holder_unconfirmed(&self, model: ModelKey) -> bool {
+        let mut holders = self.pool.endpoints.values().filter(|endpoint| endpoint.open());
+        holders.any(|endpoint| {
+            endpoint.unconfirmed(self.now) && endpoint.holding.models.contains(&model)
+        })
     }
 
-    /// Refuses a request whose model is on its way but will not be there in time.
-    fn check_arrival(&mut self, id: RequestId, target: ModelKey, base: ModelKey) {
+    /// Refuses a request whose model is being loaded but will not be ready in time.
+    fn check_load(&mut self, id: RequestId, required: ModelKey, base: ModelKey) {
         let Some(request) = self.requests.get(&id) else { return };
-        let want = self.wants.get(&target).or(self.wants.get(&base));
-        let Some(want) = want.filter(|want| !want.declined) else { return };
-        let side = self.pool.endpoints.get(&want.instance).and_then(|one| one.side.as_ref());
+        let load_request = self.load_requests.get(&required).or(self.load_requests.get(&base));
+        let Some(load_request) = load_request.filter(|load_request| !load_request.declined) else {
+            return;
+        };
+        let side = self
+            .pool
+            .endpoints
+            .get(&load_request.instance)
+            .and_then(|endpoint| endpoint.side.as_ref());
         let Some(side) = side else { return };
         let known_ms = side.left_ms(self.now);
-        let late = want.seen && known_ms > request.wait_ms(self.now);
-        if late && !self.holder_pauses(request) {
+        let late = load_request.confirmed && known_ms > request.wait_ms(self.now);
+        if late && !self.holder_paused(request) {
             self.refuse(id, Reason::TooFar);
         }
     }
 
-    /// Lets a request wait for a place for its model while its time may still be enough.
-    fn await_place(&mut self, id: RequestId, base: ModelKey) {
+    /// Keeps a request waiting for a place for its model while enough time may be left.
+    fn wait_for_place(&mut self, id: RequestId, base: ModelKey) {
         let now = self.now;
-        self.miss(id, base);
+        self.count_miss(id, base);
         let Some(request) = self.requests.get(&id) else { return };
-        if self.holder_pauses(request) {
+        if self.holder_paused(request) {
             return;
         }
-        let engine = self.text.as_ref().and_then(|text| text.service(&request.service));
+        let engine = self.config.as_ref().and_then(|config| config.service(&request.service));
         let engine = engine.and_then(|service| service.engine.as_ref());
         let spec = engine.and_then(|engine| engine.model(&request.model));
-        let copied = |one: &Endpoint| one.open() && one.holding.has_copy(base);
-        let near = self.pool.endpoints.values().any(copied);
-        let needs = spec.map_or(0, |spec| if near { spec.disk_ms } else { spec.store_ms });
+        let copied = |endpoint: &Endpoint| endpoint.open() && endpoint.holding.has_copy(base);
+        let cached = self.pool.endpoints.values().any(copied);
+        let needs = spec.map_or(0, |spec| if cached { spec.disk_ms } else { spec.store_ms });
         let waited = now.since(request.arrived);
         if request.wait_ms(now) < needs {
             self.refuse(id, Reason::TooFar);
-        } else if waited > request.target_ms.max(PLACE_MS) {
+        } else if waited > request.target_ms.max(PLACE_WAIT_MS) {
             self.refuse(id, Reason::NoEndpoint);
         }
     }
 
-    /// Milliseconds until what a request needs is there, as far as it can be told.
+    /// Returns the estimated milliseconds until a request's model is ready; `None` if it has a live
+    /// holder.
     ///
-    /// For a model that nobody brings in: the weight store has to come free first, and then takes its
-    /// time for it.
+    /// If nobody is loading the model, the estimate is the wait for the weight store plus its load
+    /// time.
     pub(super) fn ready_ms(&self, request: &Request) -> Option<u64> {
         let base = request.base?;
         if self.live_holders(base).next().is_some() {
             return None;
         }
-        let asked = self.wants.get(&base).filter(|want| !want.declined && !want.seen);
-        let asked = asked.map(|want| want.ready.since(self.now) as f64);
-        let coming = self.coming_ms(base);
-        if let Some(ms) = coming.into_iter().chain(asked).min_by(f64::total_cmp) {
+        let requested = self
+            .load_requests
+            .get(&base)
+            .filter(|load_request| !load_request.declined && !load_request.confirmed);
+        let requested = requested.map(|load_request| load_request.expected.since(self.now) as f64);
+        let remaining = self.load_remaining_ms(base);
+        if let Some(ms) = remaining.into_iter().chain(requested).min_by(f64::total_cmp) {
             return Some(ms as u64);
         }
-        let engine = self.text.as_ref()?.service(&request.service)?.engine.as_ref()?;
+        let engine = self.config.as_ref()?.service(&request.service)?.engine.as_ref()?;
         let spec = engine.model(&request.model)?;
-        let (_, copies, _) = self.nearness(base);
+        let (_, copies, _) = self.availability(base);
         if copies > 0 {
             return Some(spec.disk_ms);
         }
-        let sides = self.pool.endpoints.values().filter_map(|one| one.fresh_side(self.now));
+        let sides =
+            self.pool.endpoints.values().filter_map(|endpoint| endpoint.fresh_side(self.now));
         let loading = sides.filter(|side| side.store_loads > 0);
         let free = loading.map(|side| side.left_ms(self.now)).min();
         Some(free.unwrap_or(0) + spec.store_ms)
     }
 
-    /// What an adapter costs at a holder of its model, in shares of the slots.
+    /// Returns the cost of loading an adapter at a holder of its model, in shares of the slots.
     ///
-    /// Each adapter leans to the same holder from every entry, so that the holders' few places are
-    /// not all taken by the same ones; a holder that waits for a load takes no adapter meanwhile. A holder
-    /// that has many of all runs takes it only where the others have as many: all callers of the adapter
-    /// would hang with them.
+    /// All entries prefer the same holder for an adapter, so that the holders' few adapter slots
+    /// are not all taken by the same adapters. A holder that is busy with a load takes no adapter
+    /// meanwhile. A holder with a large share of all runs gets the adapter only if the others have
+    /// as many: if it stalled, all callers of the adapter would hang with it.
     fn adapter_cost(&self, endpoint: &Endpoint, model: &str, adapter: &str) -> f64 {
         let side = endpoint.fresh_side(self.now);
         let busy = side.map_or(0, |side| side.order_ms.saturating_sub(self.now.since(side.at)));
         let name = full_name(model, adapter);
-        let order = rendezvous_score(&name, &endpoint.member.instance) as f64 / u64::MAX as f64;
-        let runs = self.runs_of(&endpoint.member.service);
-        endpoint.fill() + self.exposure(endpoint, runs) + busy as f64 / BUSY_HOLDER_MS - order
+        let affinity = rendezvous_score(&name, &endpoint.member.instance) as f64 / u64::MAX as f64;
+        let runs = self.service_runs(&endpoint.member.service);
+        endpoint.fill() + self.concentration_cost(endpoint, runs) + busy as f64 / ORDER_DELAY_MS
+            - affinity
     }
 
-    pub(super) fn ask(
+    pub(super) fn send_load_request(
         &mut self,
         key: ModelKey,
         instance: &str,
-        victims: Vec<ModelKey>,
+        evictions: Vec<ModelKey>,
         ready_ms: u64,
         ttl_ms: u64,
     ) {
@@ -235,79 +263,88 @@
         let Some(endpoint) = self.pool.endpoints.get(instance) else { return };
         let address = endpoint.member.address;
         let service = &endpoint.member.service;
-        let fleet = self.pool.endpoints.values().filter(|one| one.member.service == *service);
-        let far = adapter.is_empty() && !endpoint.holding.has_copy(key);
-        let waiting = self.requests.values().filter(|one| {
-            one.stage == Stage::Waiting && (one.target == Some(key) || one.base == Some(key))
+        let fleet =
+            self.pool.endpoints.values().filter(|endpoint| endpoint.member.service == *service);
+        let from_store = adapter.is_empty() && !endpoint.holding.has_copy(key);
+        let waiting = self.requests.values().filter(|request| {
+            request.stage == Stage::Waiting
+                && (request.required == Some(key) || request.base == Some(key))
         });
-        let want = Want {
+        let message = Want {
             instance: instance.to_owned(),
             model: model.to_owned(),
             adapter: adapter.to_owned(),
-            victims: victims.iter().map(|key| self.names.name(*key).to_owned()).collect(),
+            victims: evictions.iter().map(|key| self.names.name(*key).to_owned()).collect(),
             fleet: fleet.count() as u32,
             ttl_ms,
             waiting: waiting.count() as u32,
             started: endpoint.started().map(|start| start.0),
-            store_loads: if far { self.store_loads() + 1 } else { 0 },
+            store_loads: if from_store { self.store_loads() + 1 } else { 0 },
         };
-        let rates = victims.iter().map(|key| format!("{:.2}", self.rate(*key))).collect::<Vec<_>>();
+        let rates =
+            evictions.iter().map(|key| format!("{:.2}", self.rate(*key))).collect::<Vec<_>>();
         let event = LogEvent::new("want")
             .with("model", model)
             .with("adapter", adapter)
             .with("at", instance)
-            .with("victims", want.victims.join(","))
+            .with("victims", message.victims.join(","))
             .with("rates", rates.join(","))
-            .with("waiting", want.waiting)
+            .with("waiting", message.waiting)
             .with("sequence", endpoint.holding.sequence);
-        let open = OpenWant {
+        let load_request = LoadRequest {
             instance: instance.to_owned(),
             address,
-            asked: self.now,
-            until: self.now + ttl_ms,
-            ready: self.now + ready_ms,
-            seen: false,
-            far,
+            sent: self.now,
+            expires: self.now + ttl_ms,
+            expected: self.now + ready_ms,
+            confirmed: false,
+            from_store,
             declined: false,
         };
-        self.wants.insert(key, open);
-        self.effects.push(EntryEffect::Want(address, want));
+        self.load_requests.insert(key, load_request);
+        self.effects.push(EntryEffect::Want(address, message));
         self.log(event);
     }
 
-    /// Requests that wait here for a model, or for an adapter of it.
-    pub(super) fn waiting_for(&self, model: ModelKey) -> f64 {
+    /// Returns the number of requests that wait here for a model or one of its adapters.
+    pub(super) fn waiting_count(&self, model: ModelKey) -> f64 {
         let waiting = self.requests.values();
-        let waiting = waiting.filter(|one| one.stage == Stage::Waiting && one.base == Some(model));
+        let waiting = waiting
+            .filter(|request| request.stage == Stage::Waiting && request.base == Some(model));
         waiting.count() as f64
     }
 
-    /// Closes wants that an endpoint's side has answered by its state.
-    pub(super) fn close_wants(&mut self, address: SocketAddr) {
+    /// Removes load requests that the reported state of an endpoint's side has resolved.
+    pub(super) fn resolve_load_requests(&mut self, address: SocketAddr) {
         let Some(endpoint) = self.pool.at(address) else { return };
         let held = endpoint.holding.keys.clone();
-        let coming = endpoint.side.as_ref().map(|side| side.loading.clone()).unwrap_or_default();
+        let loading = endpoint.side.as_ref().map(|side| side.loading.clone()).unwrap_or_default();
         let now = self.now;
-        self.wants.retain(|key, want| {
-            if want.address != address || want.declined {
+        self.load_requests.retain(|key, load_request| {
+            if load_request.address != address || load_request.declined {
                 return !held.contains(key);
             }
-            want.seen |= coming.contains(key);
-            let declined = want.seen && !coming.contains(key);
-            let unheard = !want.seen && now.since(want.asked) > UNHEARD_MS;
-            !held.contains(key) && !declined && !unheard
+            load_request.confirmed |= loading.contains(key);
+            let declined = load_request.confirmed && !loading.contains(key);
+            let unconfirmed =
+                !load_request.confirmed && now.since(load_request.sent) > CONFIRM_TIMEOUT_MS;
+            !held.contains(key) && !declined && !unconfirmed
         });
     }
 
-    /// Forgets wants that nobody waits for, or that a lost side will never answer.
-    pub(super) fn expire_wants(&mut self) {
+    /// Removes load requests that have expired, or whose side is lost and will never answer.
+    pub(super) fn expire_load_requests(&mut self) {
         let now = self.now;
         let pool = &self.pool;
-        self.wants.retain(|_, want| {
-            let side = pool.endpoints.get(&want.instance).and_then(|one| one.fresh_side(now));
-            let unheard = !want.seen && now.since(want.asked) > UNHEARD_MS;
-            let open = side.is_some() && !unheard || want.declined;
-            open && now < want.until
+        self.load_requests.retain(|_, load_request| {
+            let side = pool
+                .endpoints
+                .get(&load_request.instance)
+                .and_then(|endpoint| endpoint.fresh_side(now));
+            let unconfirmed =
+                !load_request.confirmed && now.since(load_request.sent) > CONFIRM_TIMEOUT_MS;
+            let open = side.is_some() && !unconfirmed || load_request.declined;
+            open && now < load_request.expires
         });
     }
 }
--- a/crates/pool/src/entry/weights.rs
+++ b/crates/pool/src/entry/weights.rs
@@ -1,110 +1,131 @@
-//! When the weight store may be asked for a model.
+//! Admission of loads from the weight store.
 
 use citronrill_base::ModelKey;
 use citronrill_decide::LogEvent;
 
 use super::{
     PoolEntry,
-    demand::{BUSY_RATE, OWN_RATE},
-    replicas::CROWDED,
+    demand::{BUSY_RATE, MIN_LOCAL_RATE},
+    replicas::CROWDED_FILL,
 };
 use crate::endpoint::Endpoint;
 
-/// Requests a second from which a model that nobody has a copy of is brought in before it was missed.
+/// Requests per second above which a model without any cached weights is loaded before its first
+/// miss.
 const IN_DEMAND_RATE: f64 = 8.0;
-/// Milliseconds of one entry's turn to ask the weight store: a side's word of what it has planned is heard
-/// by all entries within a few, and each entry looks every twenty.
+/// Milliseconds of one entry's turn to use the weight store. A side's report of its planned loads
+/// reaches all entries within a few milliseconds, and each entry checks every twenty.
 const TURN_MS: u64 = 40;
-/// Entries up to which they need no turns: few act in the same millisecond.
-const FEW_ENTRIES: u64 = 8;
-/// Engines for each load from the weight store that serves a rarely used model: with three at once
-/// on nine engines, a third of them took no other order for six seconds.
-const RARE_STORE_SHARE: u32 = 8;
+/// Maximum number of entries that need no turns: few act in the same millisecond.
+const MAX_UNORDERED_ENTRIES: u64 = 8;
+/// Engines for each load from the weight store that serves a rarely used model. With three such
+/// loads on nine engines, a third of the engines took no other order for six seconds.
+const ENGINES_PER_RARE_LOAD: u32 = 8;
 
 impl PoolEntry {
-    /// Whether the weight store may be asked for `model` now.
+    /// Returns whether a load of `model` from the weight store may be requested now.
     ///
-    /// When the endpoints have lost their copies, the store is what binds, and it must bring first
-    /// what most requests miss: one more replica of a busy model serves more callers than any rare
-    /// one.
+    /// When the endpoints have lost their cached weights, the store is the bottleneck, and must
+    /// first load the models with the most misses: one more replica of a busy model serves more
+    /// callers than any rare model.
     pub(super) fn store_open(&self, model: ModelKey) -> bool {
-        if !self.store_turn() {
+        if !self.has_store_turn() {
             return false;
         }
-        let own = if self.far(model) { self.need(model) } else { self.missed(model) };
+        let own = if self.only_in_store(model) {
+            self.unserved_rate(model)
+        } else {
+            self.miss_rate(model)
+        };
         let mut others = self.missed_models();
-        others.extend(self.demand.asked.keys().copied());
-        let before = others.into_iter().filter(|key| {
+        others.extend(self.demand.requested.keys().copied());
+        let ahead = others.into_iter().filter(|key| {
             *key != model
-                && !self.wants.contains_key(key)
-                && self.need(*key) > own
-                && self.far(*key)
-                && self.coming(*key) == 0
+                && !self.load_requests.contains_key(key)
+                && self.unserved_rate(*key) > own
+                && self.only_in_store(*key)
+                && self.loading_count(*key) == 0
         });
-        // A load of six seconds for one caller holds up an eighth of the endpoints at most, and never
-        // takes the last place: a model that many wait for would stand behind it.
-        let limit = self.store.limit();
-        let engines = self.pool.endpoints.values().filter(|one| one.side.is_some()).count() as u32;
-        let rare = (limit - 1).min(engines / RARE_STORE_SHARE).max(1);
+        // A load of six seconds for one caller occupies an eighth of the endpoints at most, and
+        // never takes the last load slot: a model that many callers wait for would queue behind it.
+        let limit = self.store_limit.limit();
+        let engines =
+            self.pool.endpoints.values().filter(|endpoint| endpoint.side.is_some()).count() as u32;
+        let rare = (limit - 1).min(engines / ENGINES_PER_RARE_LOAD).max(1);
         let limit = if own < BUSY_RATE { rare } else { limit };
-        self.store_loads() + (before.count() as u32) < limit
+        self.store_loads() + (ahead.count() as u32) < limit
     }
 
-    /// Whether it is this entry's turn to ask the weight store for a model.
+    /// Returns whether it is this entry's turn to use the weight store.
     ///
-    /// All entries hear at the same moment that the store has room. 68 of them asked for eight models within
-    /// a millisecond, before one could hear of another, and each load then took eight times as long.
-    pub(super) fn store_turn(&self) -> bool {
+    /// All entries learn at the same moment that the store has capacity. 68 of them requested eight
+    /// models within a millisecond, before any could learn of another, and each load then took
+    /// eight times as long.
+    pub(super) fn has_store_turn(&self) -> bool {
         let entries = u64::from(self.entries());
         let turn = (self.now.0 + self.profile.seed % (entries * TURN_MS)) / TURN_MS;
-        entries <= FEW_ENTRIES || turn.is_multiple_of(entries)
+        entries <= MAX_UNORDERED_ENTRIES || turn.is_multiple_of(entries)
     }
 
-    /// Requests a second that go unserved, over all entries, while no endpoint has a copy of a model.
+    /// Returns the unserved requests per second, over all entries, while no endpoint has a model's
+    /// weights cached.
     ///
-    /// What is missed and what is asked for: right after all copies are lost nothing was missed
-    /// yet, and six rare models were asked for in the same millisecond before the busy one.
-    fn need(&self, model: ModelKey) -> f64 {
-        let own = self.demand.asked.get(&model).map_or(0.0, |rate| rate.per_s(self.now));
-        let asked = if own < OWN_RATE { 0.0 } else { own * f64::from(self.entries()) };
-        let in_demand = if asked < IN_DEMAND_RATE { 0.0 } else { asked };
-        in_demand.max(self.missed(model))
+    /// Counts misses as well as requests: right after all cached weights were lost, nothing had
+    /// been missed yet, and six rare models were requested in the same millisecond before the busy
+    /// one.
+    fn unserved_rate(&self, model: ModelKey) -> f64 {
+        let own = self.demand.requested.get(&model).map_or(0.0, |rate| rate.per_s(self.now));
+        let requested = if own < MIN_LOCAL_RATE { 0.0 } else { own * f64::from(self.entries()) };
+        let in_demand = if requested < IN_DEMAND_RATE { 0.0 } else { requested };
+        in_demand.max(self.miss_rate(model))
     }
 
-    /// Whether no endpoint has a copy of a model or holds it with room.
-    pub(super) fn far(&self, model: ModelKey) -> bool {
-        let near = |one: &Endpoint| {
-            one.open()
-                && (one.holding.has_copy(model)
-                    || one.holding.models.contains(&model) && one.fill() < CROWDED)
+    /// Returns whether no endpoint has a model's weights cached, or has the model loaded and room.
+    pub(super) fn only_in_store(&self, model: ModelKey) -> bool {
+        let available = |endpoint: &Endpoint| {
+            endpoint.open()
+                && (endpoint.holding.has_copy(model)
+                    || endpoint.holding.models.contains(&model) && endpoint.fill() < CROWDED_FILL)
         };
-        !self.pool.endpoints.values().any(near)
+        !self.pool.endpoints.values().any(available)
     }
 
-    /// Loads from the weight store that are planned or under way, or that this entry has just asked for.
+    /// Returns the loads from the weight store that are planned, in progress, or just requested by
+    /// this entry.
     pub(super) fn store_loads(&self) -> u32 {
-        let sides = self.pool.endpoints.values().filter_map(|one| one.fresh_side(self.now));
-        let told = sides.map(|side| side.store_loads).sum::<u32>();
-        let unseen = self.wants.values().filter(|want| want.far && !want.seen && !want.declined);
-        told + unseen.count() as u32
+        let sides =
+            self.pool.endpoints.values().filter_map(|endpoint| endpoint.fresh_side(self.now));
+        let reported = sides.map(|side| side.store_loads).sum::<u32>();
+        let unconfirmed = self.load_requests.values().filter(|load_request| {
+            load_request.from_store && !load_request.confirmed && !load_request.declined
+        });
+        reported + unconfirmed.count() as u32
     }
 
-    /// Takes what a finished load from the weight store says of how many the store bears.
-    pub(super) fn learn_store(&mut self) {
-        let before = self.store.limit();
-        let sides =
-            self.pool.endpoints.iter().filter_map(|(id, one)| Some((id, one.side.as_ref()?)));
+    /// Updates the limit on concurrent loads from the reported load times.
+    pub(super) fn update_store_limit(&mut self) {
+        let previous = self.store_limit.limit();
+        let sides = self
+            .pool
+            .endpoints
+            .iter()
+            .filter_map(|(id, endpoint)| Some((id, endpoint.side.as_ref()?)));
         for (id, side) in sides {
             if side.store_overdue > 0 {
-                self.store.hear_late(side.store_overdue, side.store_concurrent, self.now);
+                self.store_limit.record_late(side.store_overdue, side.store_concurrent, self.now);
             } else {
-                self.store.hear_ended(id, side.store_slow, side.store_concurrent, self.now);
+                self.store_limit.record_finished(
+                    id,
+                    side.store_slow,
+                    side.store_concurrent,
+                    self.now,
+                );
             }
         }
-        let limit = self.store.limit();
-        if limit != before {
+        let limit = self.store_limit.limit();
+        if limit != previous {
             let loads = self.store_loads();
-            let event = LogEvent::new("store_limit").with("limit", limit).with("before", before);
+            let event = LogEvent::new("store_limit").with("limit", limit).with("before", previous);
             self.log(event.with("loads", loads));
         }
     }
