--- a/crates/decide/src/entry/claims.rs
+++ b/crates/decide/src/entry/claims.rs
@@ -1,4 +1,5 @@
-//! Calls that may run once: a claim in the table before the call is sent.
+//! Calls that may run at most once: a claim is committed to the platform table before the call is
+//! sent.
 
 use citronrill_base::{Outcome, Row, Txn};
 use prost::Message;
@@ -9,12 +10,12 @@
     rows::{ClaimRow, ClaimState, claim_key, decode},
 };
 
-/// An answer is kept for repeats up to this size, in bytes.
+/// Maximum size of an answer that is stored for replay, in bytes.
 pub const ANSWER_LIMIT: usize = 32 << 10;
-/// When to come back while another request with the key may be running, in milliseconds.
+/// Suggested retry delay while another request with the same key may be running, in milliseconds.
 const IN_FLIGHT_RETRY_MS: u64 = 2_000;
 
-/// The claim of one request.
+/// The claim of one request on its idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Claim {
     key: String,
@@ -34,22 +35,22 @@
 }
 
 impl Entry {
-    /// Queues a request, after its claim if it has one.
+    /// Queues a request; one with a claim is queued after the claim is committed.
     pub(super) fn claim_or_queue(&mut self, id: RequestId, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(claim) = &request.claim else { return self.enqueue(id, out) };
         request.state = State::Claiming;
         let mut txn = Txn::default();
         txn.put(claim.key.clone(), claim.version, Some(claim.row().encode_to_vec()));
-        self.decide(Purpose::Claim(id), None, txn, out);
+        self.commit(Purpose::Claim(id), None, txn, out);
     }
 
-    /// Goes on once the claim's outcome is known, or reads it back.
+    /// Queues the request after its claim is committed; otherwise reads the claim back.
     ///
-    /// Only the request whose token the row carries may be sent. Two entries that get the same key
-    /// at once both write under the version they know; one conflicts and finds the other's token. A
-    /// claim whose confirmation was lost is read back: the token says whose it is.
-    pub(super) fn claim_committed(
+    /// Only the request whose token is in the row may be sent. Two entries that receive the same
+    /// key at once write under the same known version; one conflicts and finds the other's token.
+    /// A claim whose confirmation was lost is read back: the token shows which request holds it.
+    pub(super) fn claim_txn_finished(
         &mut self,
         id: RequestId,
         outcome: Outcome,
@@ -76,9 +77,9 @@
         }
         let Some(claim) = request.claim.as_mut() else { return };
         let Some(row) = row else {
-            // The call was not sent, and whoever finds the claim does not send it either.
+            // The call was not sent, and another request that finds the claim does not send it.
             let refusal = Refusal::not_run(RefusalKind::StoreDown).retry_in(STORE_RETRY_MS);
-            return self.refuse_unrun(id, refusal, out);
+            return self.refuse_not_run(id, refusal, out);
         };
         let version = row.version;
         match decode::<ClaimRow>(&row.body) {
@@ -90,12 +91,13 @@
                 claim.version = version;
                 self.enqueue(id, out);
             }
-            Some(found) => self.claimed_before(id, &found, out),
+            Some(found) => self.answer_duplicate(id, &found, out),
         }
     }
 
-    /// Another request holds the key: give its answer, or say truthfully what is known.
-    fn claimed_before(&mut self, id: RequestId, found: &ClaimRow, out: &mut Vec<Effect>) {
+    /// Answers a request whose key another request holds: replays the stored answer, or refuses
+    /// with what is known about the other call.
+    fn answer_duplicate(&mut self, id: RequestId, found: &ClaimRow, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let content = request.claim.take().map(|claim| claim.content);
         if content != Some(found.content) {
@@ -108,7 +110,7 @@
                     content_type: found.content_type.clone(),
                     body: Some(found.body.clone()),
                 };
-                self.forget(id);
+                self.remove_request(id);
                 out.push(Effect::Replay(id, answer));
             }
             ClaimState::AnsweredLarge => {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Keeps the first answer for repeats.
+    /// Stores the first answer for replay.
     pub(super) fn close_claim(&mut self, claim: Claim, answer: Answer, out: &mut Vec<Effect>) {
         let mut row = claim.row();
         row.status = u32::from(answer.status);
@@ -137,19 +139,19 @@
         }
         let mut txn = Txn::default();
         txn.put(claim.key, claim.version, Some(row.encode_to_vec()));
-        self.decide(Purpose::CloseClaim, None, txn, out);
+        self.commit(Purpose::CloseClaim, None, txn, out);
     }
 
-    /// Gives up the claim of a call that surely did not run, so that a repeat may run.
+    /// Deletes the claim of a call that did not run, so that a repeat may run.
     ///
-    /// If this write is lost the claim stays open and repeats are refused as in flight: too careful,
-    /// and still true.
+    /// If this write is lost, the claim stays open and repeats are refused as in flight, which is
+    /// conservative but correct.
     pub(super) fn drop_claim(&mut self, claim: Claim, out: &mut Vec<Effect>) {
         if claim.version == 0 {
             return;
         }
         let mut txn = Txn::default();
         txn.put(claim.key, claim.version, None);
-        self.decide(Purpose::CloseClaim, None, txn, out);
+        self.commit(Purpose::CloseClaim, None, txn, out);
     }
 }
--- a/crates/decide/src/entry/cleanup.rs
+++ b/crates/decide/src/entry/cleanup.rs
@@ -1,4 +1,4 @@
-//! Giving back what instances that are gone have held.
+//! Cleanup of the rows of instances that are gone.
 
 use std::collections::BTreeMap;
 
@@ -11,74 +11,79 @@
     rows::{EndpointRow, WEIGHTS, cache_key, endpoint_key, member_key, model_key, share_key},
 };
 
-/// An instance counts as gone when the list has been without it for this long, in milliseconds.
+/// An instance counts as gone after it was absent from the instance list for this long, in
+/// milliseconds.
 ///
-/// The list lags: an instance that has just started may not be on it yet.
+/// The list lags: it may not contain an instance that has just started.
 const ABSENT_MS: u64 = 15_000;
-/// Ledgers cleaned up in one go: after the loss of a zone, the table must not get them all at once.
+/// Ledgers cleaned up at once: the loss of a zone must not send all cleanups to the platform table
+/// in one burst.
 const CLEANUP_BATCH: usize = 2;
 
 impl Entry {
-    pub(super) fn instances(&mut self, list: Vec<Listed>, out: &mut Vec<Effect>) {
-        self.list_seen = true;
-        self.listed = list.into_iter().map(|it| (it.peer.name.clone(), it)).collect();
+    pub(super) fn update_instances(&mut self, list: Vec<Listed>, out: &mut Vec<Effect>) {
+        self.instances_known = true;
+        self.instances =
+            list.into_iter().map(|instance| (instance.peer.name.clone(), instance)).collect();
         let endpoints = self.view.endpoints().map(|(_, row)| row.instance.clone());
         let members = self.view.members().map(|(name, _)| name.to_owned());
         let known = endpoints.chain(members).collect::<Set<_>>();
-        self.absent.retain(|name, _| known.contains(name) && !self.listed.contains_key(name));
+        self.absent_since
+            .retain(|name, _| known.contains(name) && !self.instances.contains_key(name));
         for name in known {
-            if !self.listed.contains_key(&name) {
-                self.absent.entry(name).or_insert(self.now);
+            if !self.instances.contains_key(&name) {
+                self.absent_since.entry(name).or_insert(self.now);
             }
         }
-        self.note_leaving(out);
-        self.recount_members();
+        self.update_departing(out);
+        self.update_members();
     }
 
-    /// Forgets an instance's absence when a new side process has claimed its endpoint.
+    /// Clears an instance's absence when a new side process has taken over its endpoint.
     ///
-    /// The list lags: an instance that was gone and is back may be in use before the list has it
-    /// again. Its absence up to then says nothing of the new process's replicas.
-    pub(super) fn note_owner(&mut self, key: EndpointKey) {
+    /// The list lags: a returned instance may be in use before the list contains it again. Its
+    /// earlier absence does not concern the new process's replicas.
+    pub(super) fn update_owner(&mut self, key: EndpointKey) {
         let Some(row) = self.view.endpoint(key) else { return };
         let (epoch, instance) = (row.epoch, row.instance.clone());
-        if self.owners.insert(key, epoch) != Some(epoch) {
-            self.absent.remove(&instance);
-            self.avoided.remove(&key);
-            let contact = self.contact(key);
-            contact.silences = 0;
-            contact.suspect_until = Default::default();
+        if self.owner_epochs.insert(key, epoch) != Some(epoch) {
+            self.absent_since.remove(&instance);
+            self.departing.remove(&key);
+            let health = self.health_mut(key);
+            health.failures = 0;
+            health.suspect_until = Default::default();
         }
     }
 
-    fn note_leaving(&mut self, out: &mut Vec<Effect>) {
+    fn update_departing(&mut self, out: &mut Vec<Effect>) {
         let leaving = self.view.endpoints().filter(|(_, row)| {
-            let listed = self.listed.get(&row.instance);
-            listed.is_some_and(|it| it.leaving) || self.gone(&row.instance)
+            let listed = self.instances.get(&row.instance);
+            listed.is_some_and(|instance| instance.leaving) || self.is_gone(&row.instance)
         });
         let leaving = leaving.map(|(key, _)| key).collect::<Set<_>>();
         for key in &leaving {
-            if !self.avoided.contains(key) {
+            if !self.departing.contains(key) {
                 let name = self.view.endpoint_name(*key).to_owned();
                 out.push(Effect::Log(LogEvent::new("avoid").with("endpoint", name)));
             }
         }
-        self.avoided = leaving;
+        self.departing = leaving;
     }
 
-    /// Whether the platform says that an instance is gone.
-    pub(super) fn gone(&self, instance: &str) -> bool {
-        let since = self.absent.get(instance);
-        self.list_seen && since.is_some_and(|since| self.now.since(*since) >= ABSENT_MS)
+    /// Whether an instance has been absent from the platform's list for long enough to be gone.
+    pub(super) fn is_gone(&self, instance: &str) -> bool {
+        let since = self.absent_since.get(instance);
+        self.instances_known && since.is_some_and(|since| self.now.since(*since) >= ABSENT_MS)
     }
 
-    /// Cleans up ledgers and member rows of gone instances that this process is to look after.
+    /// Cleans up the ledgers and member rows of gone instances for which this process is the
+    /// coordinator.
     pub(super) fn clean_up(&mut self, out: &mut Vec<Effect>) {
-        if !self.store_up || self.deciding(&Purpose::Cleanup) {
+        if !self.store_up || self.is_pending(&Purpose::Cleanup) {
             return;
         }
         let gone = self.view.endpoints().filter(|(key, row)| {
-            self.gone(&row.instance) && self.owns(self.view.endpoint_name(*key))
+            self.is_gone(&row.instance) && self.is_coordinator(self.view.endpoint_name(*key))
         });
         let gone = gone.map(|(key, row)| (key, row.clone())).take(CLEANUP_BATCH);
         for (key, row) in gone.collect::<Vec<_>>() {
@@ -87,16 +92,17 @@
         if let Some(name) = self.gone_member() {
             let mut txn = Txn::default();
             txn.put(member_key(&name), self.view.member(&name).version, None);
-            self.decide(Purpose::Cleanup, None, txn, out);
+            self.commit(Purpose::Cleanup, None, txn, out);
         }
     }
 
     fn gone_member(&self) -> Option<String> {
         let mut names = self.view.members().map(|(name, _)| name);
-        names.find(|name| self.gone(name) && self.owns(name)).map(str::to_owned)
+        names.find(|name| self.is_gone(name) && self.is_coordinator(name)).map(str::to_owned)
     }
 
-    /// Deletes a gone endpoint's row and takes its replicas out of every other row at once.
+    /// Deletes a gone endpoint's row and removes its replicas from all other rows, in one
+    /// transaction.
     fn clean_endpoint(&mut self, key: EndpointKey, row: &EndpointRow, out: &mut Vec<Effect>) {
         let name = self.view.endpoint_name(key).to_owned();
         let mut txn = Txn::default();
@@ -130,6 +136,6 @@
             txn.put(WEIGHTS, version, Some(weights.encode_to_vec()));
         }
         out.push(Effect::Log(LogEvent::new("clean_up").with("endpoint", name)));
-        self.decide(Purpose::Cleanup, None, txn, out);
+        self.commit(Purpose::Cleanup, None, txn, out);
     }
 }
--- a/crates/decide/src/entry/config.rs
+++ b/crates/decide/src/entry/config.rs
@@ -1,4 +1,4 @@
-//! The text in force: from version to version, never back.
+//! The active configuration, whose version never decreases.
 
 use std::collections::BTreeMap;
 
@@ -12,22 +12,22 @@
     rows::{DELTA_RING, DeltaRow, HeadRow},
 };
 
-/// A text that does not come is fetched again after this time, in milliseconds.
-const FETCH_PATIENCE_MS: u64 = 2_000;
+/// A configuration fetch is repeated after this time, in milliseconds.
+const FETCH_TIMEOUT_MS: u64 = 2_000;
 
-/// The text in force and what is known of later ones.
+/// The active configuration and the known state of later versions.
 #[derive(Debug, Default)]
-pub(super) struct TextState {
-    pub(super) text: String,
-    pub(super) target: Option<HeadRow>,
+pub(super) struct ConfigState {
+    pub(super) source: String,
+    pub(super) head: Option<HeadRow>,
     pub(super) confirmed: bool,
     deltas: BTreeMap<u64, DeltaRow>,
     fetching: Option<(u64, Millis)>,
     rejected: u64,
 }
 
-impl TextState {
-    pub(super) fn keep_delta(&mut self, delta: DeltaRow) {
+impl ConfigState {
+    pub(super) fn insert_delta(&mut self, delta: DeltaRow) {
         self.deltas.insert(delta.version, delta);
         while self.deltas.len() as u64 > DELTA_RING {
             self.deltas.pop_first();
@@ -36,11 +36,12 @@
 }
 
 impl Entry {
-    /// Goes to the version that the head names, by deltas if they lead there.
-    pub(super) fn advance_text(&mut self, out: &mut Vec<Effect>) {
-        while let Some(delta) = self.text.deltas.get(&(self.catalogue.version + 1)) {
-            let wanted = self.text.target.as_ref().map_or(0, |head| head.version);
-            if delta.whole || self.catalogue.version == 0 || delta.version > wanted {
+    /// Advances to the head's version by deltas, and fetches the whole configuration if they do not
+    /// suffice.
+    pub(super) fn advance_config(&mut self, out: &mut Vec<Effect>) {
+        while let Some(delta) = self.config.deltas.get(&(self.catalogue.version + 1)) {
+            let head_version = self.config.head.as_ref().map_or(0, |head| head.version);
+            if delta.whole || self.catalogue.version == 0 || delta.version > head_version {
                 break;
             }
             let step = Delta {
@@ -49,74 +50,77 @@
                 digest: delta.digest.clone(),
             };
             let version = delta.version;
-            match step.apply(&self.text.text) {
-                Ok(text) if self.text.rejected < version => self.put_in_force(version, text, out),
+            match step.apply(&self.config.source) {
+                Ok(source) if self.config.rejected < version => self.activate(version, source, out),
                 Ok(_) | Err(_) => break,
             }
         }
         let current = self.catalogue.version;
-        self.text.deltas.retain(|version, _| *version > current);
+        self.config.deltas.retain(|version, _| *version > current);
         self.fetch_missing(out);
     }
 
     fn fetch_missing(&mut self, out: &mut Vec<Effect>) {
-        let Some(head) = &self.text.target else { return };
-        let known = self.catalogue.version.max(self.text.rejected);
-        let waits = self.text.fetching.is_some_and(|(version, since)| {
-            version == head.version && self.now.since(since) < FETCH_PATIENCE_MS
+        let Some(head) = &self.config.head else { return };
+        let known = self.catalogue.version.max(self.config.rejected);
+        let fetching = self.config.fetching.is_some_and(|(version, since)| {
+            version == head.version && self.now.since(since) < FETCH_TIMEOUT_MS
         });
-        if head.version > known && !waits {
-            self.text.fetching = Some((head.version, self.now));
+        if head.version > known && !fetching {
+            self.config.fetching = Some((head.version, self.now));
             out.push(Effect::FetchText(head.clone()));
         }
     }
 
-    pub(super) fn refetch_text(&mut self, out: &mut Vec<Effect>) {
+    pub(super) fn refetch_config(&mut self, out: &mut Vec<Effect>) {
         self.fetch_missing(out);
     }
 
-    /// Takes a whole text, if it is later than the one in force and the one that the head names.
+    /// Activates a fetched configuration if it is newer than the active one and matches the head.
     ///
-    /// A late answer or a peer that lags may bring an older one: it changes nothing.
-    pub(super) fn whole_text(&mut self, version: u64, text: String, out: &mut Vec<Effect>) {
-        let head = self.text.target.as_ref().filter(|head| head.version == version);
-        if version <= self.catalogue.version || head.is_none_or(|it| it.digest != digest(&text)) {
+    /// An older one from a late reply or a lagging peer is ignored.
+    pub(super) fn config_fetched(&mut self, version: u64, source: String, out: &mut Vec<Effect>) {
+        let head = self.config.head.as_ref().filter(|head| head.version == version);
+        if version <= self.catalogue.version
+            || head.is_none_or(|head| head.digest != digest(&source))
+        {
             return;
         }
-        self.put_in_force(version, text, out);
-        self.advance_text(out);
+        self.activate(version, source, out);
+        self.advance_config(out);
     }
 
-    fn put_in_force(&mut self, version: u64, text: String, out: &mut Vec<Effect>) {
-        let compiled = Catalogue::compile("head", &text, version, &mut self.view.registry);
+    fn activate(&mut self, version: u64, source: String, out: &mut Vec<Effect>) {
+        let compiled = Catalogue::compile("head", &source, version, &mut self.view.registry);
         match compiled {
             Ok(catalogue) => {
                 self.catalogue = catalogue;
-                self.text.text = text;
-                self.text.fetching = None;
+                self.config.source = source;
+                self.config.fetching = None;
                 out.push(Effect::Configured(version));
                 out.push(Effect::Log(LogEvent::new("config").with("version", version)));
                 self.refuse_removed(out);
             }
             Err(errors) => {
-                self.text.rejected = version;
+                self.config.rejected = version;
                 let event = LogEvent::new("config_rejected").with("version", version);
                 out.push(Effect::Log(event.with("errors", errors.0.len())));
             }
         }
     }
 
-    /// Refuses what waits for a model, service or organisation that the text no longer has.
+    /// Refuses queued requests whose model, service or organisation was removed from the
+    /// configuration.
     fn refuse_removed(&mut self, out: &mut Vec<Effect>) {
-        let removed = self.queues.keys().copied().filter(|target| !self.still_served(*target));
+        let removed = self.queues.keys().copied().filter(|target| !self.is_served(*target));
         for target in removed.collect::<Vec<_>>() {
             self.refuse_waiting(target, RefusalKind::Removed, out);
         }
     }
 
-    fn still_served(&self, target: Target) -> bool {
+    fn is_served(&self, target: Target) -> bool {
         let service = match target {
-            Target::Model(model) => self.catalogue.models.get(&model).map(|it| it.service),
+            Target::Model(model) => self.catalogue.models.get(&model).map(|model| model.service),
             Target::Plain(service) => Some(service),
         };
         service.is_some_and(|service| self.catalogue.services.contains_key(&service))
--- a/crates/decide/src/entry/mod.rs
+++ b/crates/decide/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The reducer of an entry process: callers' requests, and the models whose home it is.
+//! The reducer of an entry process. It handles callers' requests and coordinates models.
 
 mod claims;
 mod cleanup;
@@ -27,8 +27,8 @@
 };
 use self::{
     claims::Claim,
-    config::TextState,
-    home::{DemandState, Home},
+    config::ConfigState,
+    home::{Coordination, ReportedDemand},
     queue::WaitQueue,
 };
 use crate::{
@@ -41,21 +41,22 @@
     view::{Change, View},
 };
 
-/// A decision without an answer is looked into after this time, in milliseconds.
-const DECISION_PATIENCE_MS: u64 = 3_000;
-/// How often the slow chores run, in milliseconds.
-const CHORES_MS: u64 = 1_000;
+/// A transaction without a reply counts as unknown after this time, in milliseconds.
+const TXN_TIMEOUT_MS: u64 = 3_000;
+/// Interval of the periodic maintenance, in milliseconds.
+const MAINTENANCE_INTERVAL_MS: u64 = 1_000;
 
+/// Progress of a request.
 #[derive(Debug)]
 enum State {
     /// Its claim is being written.
     Claiming,
-    /// It stands in its queue.
+    /// It is queued.
     Waiting,
-    /// It was sent.
-    Sent { endpoint: EndpointKey, call: u64, began: bool },
-    /// It was cancelled at its deadline; the side has until then to say whether it ran.
-    Cancelling { endpoint: EndpointKey, call: u64, began: bool, until: Millis },
+    /// An attempt is in flight.
+    Sent { endpoint: EndpointKey, call: u64, response_started: bool },
+    /// It was cancelled at its deadline; the side may report whether it ran before `until`.
+    Cancelling { endpoint: EndpointKey, call: u64, response_started: bool, until: Millis },
 }
 
 #[derive(Debug)]
@@ -67,26 +68,27 @@
     sent_at: Millis,
     repeatable: bool,
     prefix: u64,
-    tries: u8,
-    avoid: Vec<EndpointKey>,
+    attempts: u8,
+    excluded: Vec<EndpointKey>,
     owner: u64,
     may_have_run: bool,
     claim: Option<Claim>,
     state: State,
 }
 
-/// What this process has seen of an endpoint.
+/// An endpoint's health and load as observed by this process.
 #[derive(Debug, Clone, Default)]
-struct Contact {
-    running: u32,
+struct EndpointHealth {
+    in_flight: u32,
     reported: u32,
     reported_at: Millis,
     suspect_until: Millis,
-    silences: u32,
+    failures: u32,
     busy_until: Millis,
-    left_owner: Option<u64>,
+    leaving_owner: Option<u64>,
 }
 
+/// Why a transaction was started.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Purpose {
     Load(ModelKey),
@@ -97,15 +99,16 @@
     CloseClaim,
 }
 
+/// A transaction whose outcome is not known yet.
 #[derive(Debug)]
-struct Decision {
+struct PendingTxn {
     purpose: Purpose,
     endpoint: Option<EndpointKey>,
     txn: Txn,
     since: Millis,
 }
 
-/// The reducer.
+/// The reducer of an entry process.
 pub struct Entry {
     profile: EntryProfile,
     policies: Policies,
@@ -113,41 +116,41 @@
     now: Millis,
     view: View,
     catalogue: Catalogue,
-    text: TextState,
+    config: ConfigState,
     requests: Map<RequestId, Request>,
     deadlines: BTreeSet<(Millis, RequestId)>,
     queues: Map<Target, WaitQueue>,
-    per_org: Map<OrgKey, usize>,
-    contacts: Vec<Contact>,
-    misplaced: Map<(EndpointKey, ModelKey), u64>,
+    org_requests: Map<OrgKey, usize>,
+    endpoint_health: Vec<EndpointHealth>,
+    stale_replicas: Map<(EndpointKey, ModelKey), u64>,
     retry_tokens: f64,
     service_ms: Map<Target, f64>,
     next_call: u64,
-    decisions: Map<u64, Decision>,
-    next_decision: u64,
-    orders: u64,
-    demands: Map<ModelKey, DemandState>,
-    homes: Map<ModelKey, Home>,
-    reports: Map<ModelKey, Millis>,
+    pending_txns: Map<u64, PendingTxn>,
+    next_txn: u64,
+    next_order: u64,
+    demands: Map<ModelKey, ReportedDemand>,
+    coordinations: Map<ModelKey, Coordination>,
+    use_reports: Map<ModelKey, Millis>,
     loading_since: Map<ModelKey, Millis>,
     cooldowns: Map<ModelKey, (u32, Millis)>,
     feed: Feed,
-    answered_at: Option<Millis>,
-    listed: Map<String, Listed>,
-    absent: Map<String, Millis>,
-    owners: Map<EndpointKey, u64>,
-    list_seen: bool,
-    avoided: Set<EndpointKey>,
+    table_reply: Option<Millis>,
+    instances: Map<String, Listed>,
+    absent_since: Map<String, Millis>,
+    owner_epochs: Map<EndpointKey, u64>,
+    instances_known: bool,
+    departing: Set<EndpointKey>,
     members: Vec<Peer>,
     store_up: bool,
-    slot: Option<usize>,
-    chores: Millis,
+    day_slot: Option<usize>,
+    last_maintenance: Millis,
     draining: bool,
     drained: bool,
 }
 
 impl Entry {
-    /// The reducer of a process that has just started.
+    /// Creates the reducer of a process that has just started.
     pub fn new(profile: EntryProfile, policies: Policies, now: Millis) -> Entry {
         let rng = SmallRng::seed_from_u64(profile.seed);
         let feed = Feed::new(&profile.instance, &profile.zone, now);
@@ -158,65 +161,67 @@
             now,
             view: View::default(),
             catalogue: Catalogue::empty(),
-            text: TextState::default(),
+            config: ConfigState::default(),
             requests: Map::default(),
             deadlines: BTreeSet::new(),
             queues: Map::default(),
-            per_org: Map::default(),
-            contacts: Vec::new(),
-            misplaced: Map::default(),
-            retry_tokens: requests::RETRY_LIMIT,
+            org_requests: Map::default(),
+            endpoint_health: Vec::new(),
+            stale_replicas: Map::default(),
+            retry_tokens: requests::RETRY_BUDGET,
             service_ms: Map::default(),
             next_call: 0,
-            decisions: Map::default(),
-            next_decision: 0,
-            orders: 0,
+            pending_txns: Map::default(),
+            next_txn: 0,
+            next_order: 0,
             demands: Map::default(),
-            homes: Map::default(),
-            reports: Map::default(),
+            coordinations: Map::default(),
+            use_reports: Map::default(),
             loading_since: Map::default(),
             cooldowns: Map::default(),
             feed,
-            answered_at: None,
-            listed: Map::default(),
-            absent: Map::default(),
-            owners: Map::default(),
-            list_seen: false,
-            avoided: Set::default(),
+            table_reply: None,
+            instances: Map::default(),
+            absent_since: Map::default(),
+            owner_epochs: Map::default(),
+            instances_known: false,
+            departing: Set::default(),
             members: Vec::new(),
             store_up: false,
-            slot: None,
-            chores: now,
+            day_slot: None,
+            last_maintenance: now,
             draining: false,
             drained: false,
         }
     }
 
-    /// Takes in one event.
+    /// Processes one event.
     pub fn step(&mut self, now: Millis, event: Event, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         match event {
             Event::Tick { minute } => self.tick(minute, out),
-            Event::Rows(rows) => self.read_rows(&rows, out),
-            Event::Told(rows) => self.told(&rows, out),
-            Event::Fed(id, page) => self.fed(id, page, out),
-            Event::Pull { pull, since } => self.pulled(pull, since, out),
-            Event::Text { version, text } => self.whole_text(version, text, out),
-            Event::Instances(list) => self.instances(list, out),
+            Event::Rows(rows) => self.absorb_table_rows(&rows, out),
+            Event::Told(rows) => self.absorb_announced_rows(&rows, out),
+            Event::Fed(id, page) => self.feed_answered(id, page, out),
+            Event::Pull { pull, since } => self.feed_pulled(pull, since, out),
+            Event::Text { version, text } => self.config_fetched(version, text, out),
+            Event::Instances(list) => self.update_instances(list, out),
             Event::Arrive(arrival) => self.arrive(arrival, out),
             Event::List { id, key } => self.list_models(id, &key, out),
-            Event::Began(id, call) if self.stands(id, call) => self.began(id),
-            Event::Ended { id, call, load, answer } if self.stands(id, call) => {
-                self.ended(id, load, answer, out);
+            Event::Began(id, call) if self.is_current(id, call) => self.response_started(id),
+            Event::Ended { id, call, load, answer } if self.is_current(id, call) => {
+                self.response_finished(id, load, answer, out);
             }
-            Event::Declined { id, call, why, load } if self.stands(id, call) => {
+            Event::Declined { id, call, why, load } if self.is_current(id, call) => {
                 self.declined(id, why, load, out);
             }
-            Event::Unsent(id, call) if self.stands(id, call) => self.unsent(id, out),
-            Event::Lost(id, call) if self.stands(id, call) => self.lost(id, out),
-            Event::Spent(id, call, ran) if self.stands(id, call) => self.spent(id, ran, out),
-            Event::Cancelled(id, call, answer) if self.stands(id, call) => {
-                self.cancelled(id, answer, out);
+            Event::Unsent(id, call) if self.is_current(id, call) => self.not_sent(id, out),
+            Event::Lost(id, call) if self.is_current(id, call) => self.connection_lost(id, out),
+            Event::Spent(id, call, ran) if self.is_current(id, call) => {
+                self.body_consumed(id, ran, out)
+            }
+            Event::Cancelled(id, call, answer) if self.is_current(id, call) => {
+                self.cancel_answered(id, answer, out);
             }
             Event::Began(..)
             | Event::Ended { .. }
@@ -226,11 +231,11 @@
             | Event::Spent(..)
             | Event::Cancelled(..) => {}
             Event::CallerGone(id) => self.caller_gone(id, out),
-            Event::Silent(endpoint) => self.silent(endpoint),
-            Event::Demand(demand) => self.demanded(demand, out),
-            Event::Heard(model) => self.heard(&model),
-            Event::Verdict { model, kind } => self.verdict(&model, kind, out),
-            Event::Committed(id, outcome) => self.committed(id, outcome, out),
+            Event::Unresponsive(endpoint) => self.suspect(endpoint),
+            Event::Demand(demand) => self.handle_demand(demand, out),
+            Event::Heard(model) => self.demand_acknowledged(&model),
+            Event::Verdict { model, kind } => self.load_refused(&model, kind, out),
+            Event::Committed(id, outcome) => self.txn_finished(id, outcome, out),
             Event::ClaimRead(id, row) => self.claim_read(id, row, out),
             Event::Drain => self.drain(out),
         }
@@ -240,25 +245,25 @@
     fn tick(&mut self, minute: u16, out: &mut Vec<Effect>) {
         self.expire(out);
         self.run_feed(out);
-        self.time_out_decisions(out);
+        self.time_out_txns(out);
         self.register(out);
         self.retry_loads(out);
         let targets = self.queues.keys().copied().collect::<Vec<_>>();
         for target in targets {
             self.dispatch(target, out);
         }
-        if self.now.since(self.chores) >= CHORES_MS {
-            self.chores = self.now;
-            self.refetch_text(out);
+        if self.now.since(self.last_maintenance) >= MAINTENANCE_INTERVAL_MS {
+            self.last_maintenance = self.now;
+            self.refetch_config(out);
             self.clean_up(out);
-            self.home_chores(minute, out);
+            self.maintain_models(minute, out);
         }
     }
 
     fn run_feed(&mut self, out: &mut Vec<Effect>) {
         let jitter = self.random();
         let mut effects = Vec::new();
-        // By reference: a copy of all members with each tick was most of an idle entry's time.
+        // Borrowed: cloning all members on every tick took most of an idle entry's CPU time.
         let listed;
         let peers = if self.members.is_empty() {
             listed = self.listed_entries();
@@ -268,48 +273,49 @@
         };
         self.feed.tick(self.now, peers, jitter, &mut effects);
         out.extend(effects.into_iter().map(Effect::Feed));
-        self.judge_store(out);
+        self.update_store_state(out);
     }
 
-    /// The entries of the platform's list, for as long as the table has named none.
+    /// Entries of the platform's instance list, used until the platform table has member rows.
     fn listed_entries(&self) -> Vec<Peer> {
-        let listed = self.listed.values().filter(|it| it.entry && !it.leaving);
-        listed.map(|it| it.peer.clone()).collect()
+        let listed = self.instances.values().filter(|instance| instance.entry && !instance.leaving);
+        listed.map(|instance| instance.peer.clone()).collect()
     }
 
-    fn pulled(&mut self, pull: u64, since: u64, out: &mut Vec<Effect>) {
+    fn feed_pulled(&mut self, pull: u64, since: u64, out: &mut Vec<Effect>) {
         let mut effects = Vec::new();
         self.feed.pull(self.now, pull, since, &mut effects);
         out.extend(effects.into_iter().map(Effect::Feed));
     }
 
-    fn fed(&mut self, id: u64, page: Option<Page>, out: &mut Vec<Effect>) {
+    fn feed_answered(&mut self, id: u64, page: Option<Page>, out: &mut Vec<Effect>) {
         let rows = self.feed.answered(self.now, id, page);
-        self.judge_store(out);
-        self.rows(&rows, out);
+        self.update_store_state(out);
+        self.apply_rows(&rows, out);
         let mut effects = Vec::new();
         self.feed.answer_pulls(self.now, &mut effects);
         out.extend(effects.into_iter().map(Effect::Feed));
     }
 
-    /// Takes in rows that came from the table itself.
-    fn read_rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
-        self.answered_at = Some(self.now);
+    /// Applies rows that were read from the platform table itself.
+    fn absorb_table_rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
+        self.table_reply = Some(self.now);
         self.feed.learned(rows);
-        self.judge_store(out);
-        self.rows(rows, out);
-        self.rows_read(rows, out);
+        self.update_store_state(out);
+        self.apply_rows(rows, out);
+        self.resume_after_read(rows, out);
     }
 
-    /// Takes in rows that were committed, but may be ahead of others that are not known yet.
-    fn told(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
+    /// Applies committed rows that may be ahead of other rows that are not known yet.
+    fn absorb_announced_rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
         self.feed.learned(rows);
-        self.rows(rows, out);
+        self.apply_rows(rows, out);
     }
 
-    /// The table counts as up while anything that it confirmed is fresh, here or up the feed.
-    fn judge_store(&mut self, out: &mut Vec<Effect>) {
-        let direct = self.answered_at.is_some_and(|at| self.now.since(at) < STALE_MS);
+    /// Updates whether the platform table counts as up: it has answered this process recently, or
+    /// the feed's data was confirmed recently.
+    fn update_store_state(&mut self, out: &mut Vec<Effect>) {
+        let direct = self.table_reply.is_some_and(|at| self.now.since(at) < STALE_MS);
         let up = direct || self.feed.age(self.now) < STALE_MS;
         if self.store_up != up {
             self.store_up = up;
@@ -317,23 +323,23 @@
         }
     }
 
-    fn rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
-        self.text.confirmed |= self.store_up;
+    fn apply_rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
+        self.config.confirmed |= self.store_up;
         let mut touched = Vec::new();
         for row in rows {
             match self.view.absorb(row) {
                 Some(Change::Endpoint(key, models)) => {
-                    self.note_owner(key);
+                    self.update_owner(key);
                     touched.extend(models);
                 }
-                Some(Change::Model(model)) => self.note_failures(model, out),
-                Some(Change::Members) => self.recount_members(),
-                Some(Change::Head(head)) => self.text.target = Some(head),
-                Some(Change::Delta(delta)) => self.text.keep_delta(delta),
+                Some(Change::Model(model)) => self.update_cooldown(model, out),
+                Some(Change::Members) => self.update_members(),
+                Some(Change::Head(head)) => self.config.head = Some(head),
+                Some(Change::Delta(delta)) => self.config.insert_delta(delta),
                 Some(Change::Other) | None => {}
             }
         }
-        self.advance_text(out);
+        self.advance_config(out);
         touched.sort_unstable();
         touched.dedup();
         for model in touched {
@@ -341,27 +347,27 @@
         }
     }
 
-    fn recount_members(&mut self) {
-        let leaves = |name: &str| self.listed.get(name).is_some_and(|it| it.leaving);
-        let members = self.view.members().filter(|(name, _)| !leaves(name) && !self.gone(name));
+    fn update_members(&mut self) {
+        let leaves = |name: &str| self.instances.get(name).is_some_and(|instance| instance.leaving);
+        let members = self.view.members().filter(|(name, _)| !leaves(name) && !self.is_gone(name));
         let members = members.map(|(name, row)| Peer {
             name: name.to_owned(),
             address: row.address.clone(),
             zone: row.zone.clone(),
         });
         let members = members.collect::<Vec<_>>();
-        // Reviewing the homes costs a hash for each member and warm model; the list is read each 2 s.
+        // The review computes a hash per member and warm model; the member list is read every 2 s.
         if members != self.members {
             self.members = members;
-            self.review_homes();
+            self.review_coordinations();
         }
     }
 
-    /// Writes the own member row once the table answers.
+    /// Writes the own member row once the platform table answers.
     fn register(&mut self, out: &mut Vec<Effect>) {
         let own = self.view.member(&self.profile.instance);
         let current = own.row.as_ref().is_some_and(|row| row.session == self.profile.session);
-        if current || self.draining || !self.store_up || self.deciding(&Purpose::Member) {
+        if current || self.draining || !self.store_up || self.is_pending(&Purpose::Member) {
             return;
         }
         let row = MemberRow {
@@ -372,59 +378,59 @@
         let mut txn = Txn::default();
         let body = prost::Message::encode_to_vec(&row);
         txn.put(member_key(&self.profile.instance), own.version, Some(body));
-        self.decide(Purpose::Member, None, txn, out);
+        self.commit(Purpose::Member, None, txn, out);
     }
 
-    fn deciding(&self, purpose: &Purpose) -> bool {
-        self.decisions.values().any(|decision| decision.purpose == *purpose)
+    fn is_pending(&self, purpose: &Purpose) -> bool {
+        self.pending_txns.values().any(|pending| pending.purpose == *purpose)
     }
 
-    fn decide(
+    fn commit(
         &mut self,
         purpose: Purpose,
         endpoint: Option<EndpointKey>,
         txn: Txn,
         out: &mut Vec<Effect>,
     ) {
-        self.next_decision += 1;
-        let id = self.next_decision;
+        self.next_txn += 1;
+        let id = self.next_txn;
         let since = self.now;
         out.push(Effect::Commit(id, txn.clone()));
-        self.decisions.insert(id, Decision { purpose, endpoint, txn, since });
+        self.pending_txns.insert(id, PendingTxn { purpose, endpoint, txn, since });
     }
 
-    /// A number that no other decision of any process has.
+    /// Reserves `count` consecutive order ids that no other process uses; returns the first.
     fn new_order(&mut self, count: u64) -> u64 {
-        let first = self.orders;
-        self.orders += count;
+        let first = self.next_order;
+        self.next_order += count;
         let name = format!("{}/{}/{first}", self.profile.instance, self.profile.session);
         hash_bytes(name.as_bytes()) >> 1
     }
 
-    fn committed(&mut self, id: u64, outcome: Outcome, out: &mut Vec<Effect>) {
-        let Some(decision) = self.decisions.remove(&id) else { return };
+    fn txn_finished(&mut self, id: u64, outcome: Outcome, out: &mut Vec<Effect>) {
+        let Some(pending) = self.pending_txns.remove(&id) else { return };
         if let Outcome::Committed(version) = outcome {
-            let rows = decision.txn.writes.iter().cloned();
-            let rows = rows.map(|it| Row { key: it.key, version, body: it.body });
+            let rows = pending.txn.writes.iter().cloned();
+            let rows = rows.map(|write| Row { key: write.key, version, body: write.body });
             let rows = rows.collect::<Vec<_>>();
-            self.read_rows(&rows, out);
+            self.absorb_table_rows(&rows, out);
         }
-        match decision.purpose {
-            Purpose::Claim(request) => self.claim_committed(request, outcome, out),
+        match pending.purpose {
+            Purpose::Claim(request) => self.claim_txn_finished(request, outcome, out),
             Purpose::CloseClaim => {}
             purpose => {
-                self.settle(&purpose, decision.endpoint, &decision.txn, outcome, out);
+                self.decision_finished(&purpose, pending.endpoint, &pending.txn, outcome, out);
             }
         }
     }
 
-    /// Goes on after a decision of the home.
+    /// Handles the outcome of a coordinator's decision.
     ///
-    /// After a conflict or a lost answer the rows are read back. What they say is the truth either
-    /// way: if the transaction took effect after all, the view shows its replica and nothing more
-    /// is decided; if it is still on its way, the versions that it checks are the ones that the
-    /// next decision checks too, so only one of the two can take effect.
-    fn settle(
+    /// After a conflict or a lost reply the rows are read back. If the transaction took effect
+    /// after all, the view shows its replica and no further decision follows. If it is still in
+    /// flight, it checks the same versions as the next decision, so only one of the two can take
+    /// effect.
+    fn decision_finished(
         &mut self,
         purpose: &Purpose,
         endpoint: Option<EndpointKey>,
@@ -442,29 +448,29 @@
                 }
             }
             Outcome::Conflict | Outcome::Unknown => {
-                out.push(Effect::Read(txn.checks.iter().map(|it| it.key.clone()).collect()));
+                out.push(Effect::Read(txn.checks.iter().map(|check| check.key.clone()).collect()));
             }
         }
         if let Purpose::Load(model) = purpose {
-            self.load_settled(*model, endpoint, outcome, out);
+            self.load_txn_finished(*model, endpoint, outcome, out);
         }
     }
 
-    fn time_out_decisions(&mut self, out: &mut Vec<Effect>) {
-        let late = |decision: &Decision| self.now.since(decision.since) >= DECISION_PATIENCE_MS;
-        let late = self.decisions.iter().filter(|(_, decision)| late(decision));
+    fn time_out_txns(&mut self, out: &mut Vec<Effect>) {
+        let late = |pending: &PendingTxn| self.now.since(pending.since) >= TXN_TIMEOUT_MS;
+        let late = self.pending_txns.iter().filter(|(_, pending)| late(pending));
         let late = late.map(|(id, _)| *id).collect::<Vec<_>>();
         for id in late {
-            self.committed(id, Outcome::Unknown, out);
+            self.txn_finished(id, Outcome::Unknown, out);
         }
     }
 
-    /// Names of the members that may decide for `item`, the first choice first.
-    fn deciders(&self, item: &str) -> Vec<&str> {
+    /// Names of the members in the order in which they coordinate `item`.
+    fn coordinators(&self, item: &str) -> Vec<&str> {
         rendezvous_order(item, self.members.iter().map(|peer| peer.name.as_str()))
     }
 
-    fn owns(&self, item: &str) -> bool {
+    fn is_coordinator(&self, item: &str) -> bool {
         let mut best = None;
         for peer in &self.members {
             let score = rendezvous_score(item, &peer.name);
@@ -473,11 +479,11 @@
         best.is_none_or(|(_, name)| name == self.profile.instance)
     }
 
-    fn contact(&mut self, key: EndpointKey) -> &mut Contact {
-        if self.contacts.len() <= key.index() {
-            self.contacts.resize_with(key.index() + 1, Contact::default);
+    fn health_mut(&mut self, key: EndpointKey) -> &mut EndpointHealth {
+        if self.endpoint_health.len() <= key.index() {
+            self.endpoint_health.resize_with(key.index() + 1, EndpointHealth::default);
         }
-        &mut self.contacts[key.index()]
+        &mut self.endpoint_health[key.index()]
     }
 
     fn drain(&mut self, out: &mut Vec<Effect>) {
@@ -487,7 +493,7 @@
         }
     }
 
-    /// Gives up the own member row when the last request is answered, then stops.
+    /// Deletes the own member row after the last request is answered, then reports the drain.
     fn finish_drain(&mut self, out: &mut Vec<Effect>) {
         if !self.draining || self.drained || !self.requests.is_empty() {
             return;
@@ -497,7 +503,7 @@
         if own.row.is_some() && self.store_up {
             let mut txn = Txn::default();
             txn.put(member_key(&self.profile.instance), own.version, None);
-            self.decide(Purpose::Member, None, txn, out);
+            self.commit(Purpose::Member, None, txn, out);
         }
         out.push(Effect::Drained);
     }
@@ -506,15 +512,15 @@
         self.rng.random()
     }
 
-    /// Whether a sending is the one that stands for its request now.
+    /// Whether `call` is the current attempt of its request.
     ///
-    /// News of an earlier one may come late: taken for news of the present one, a late decline would
-    /// have a call that runs sent a second time.
-    fn stands(&self, id: RequestId, call: u64) -> bool {
+    /// An event of an earlier attempt may arrive late. If a late decline were applied to the
+    /// current attempt, a call that is running would be sent a second time.
+    fn is_current(&self, id: RequestId, call: u64) -> bool {
         self.current_call(id) == Some(call)
     }
 
-    /// The sending that stands for a request now, if it was sent.
+    /// The number of a request's current attempt, if one is in flight.
     pub fn current_call(&self, id: RequestId) -> Option<u64> {
         match self.requests.get(&id)?.state {
             State::Sent { call, .. } | State::Cancelling { call, .. } => Some(call),
@@ -522,23 +528,23 @@
         }
     }
 
-    /// Whether a request's deadline has passed and its side was asked whether it ran.
+    /// Whether a request's deadline has passed and the side was asked whether the call ran.
     pub fn is_cancelling(&self, id: RequestId) -> bool {
         let state = self.requests.get(&id).map(|request| &request.state);
         matches!(state, Some(State::Cancelling { .. }))
     }
 
     fn refuse(&mut self, id: RequestId, refusal: Refusal, out: &mut Vec<Effect>) {
-        if self.forget(id).is_some() {
+        if self.remove_request(id).is_some() {
             out.push(Effect::Refuse(id, refusal));
         }
     }
 
-    /// Takes a request out of every index.
-    fn forget(&mut self, id: RequestId) -> Option<Request> {
+    /// Removes a request from every index.
+    fn remove_request(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.deadlines.remove(&(request.deadline, id));
-        if let Some(count) = self.per_org.get_mut(&request.org) {
+        if let Some(count) = self.org_requests.get_mut(&request.org) {
             *count = count.saturating_sub(1);
         }
         if let Some(queue) = self.queues.get_mut(&request.target) {
@@ -548,14 +554,14 @@
             }
         }
         if let State::Sent { endpoint, .. } | State::Cancelling { endpoint, .. } = request.state {
-            let contact = self.contact(endpoint);
-            contact.running = contact.running.saturating_sub(1);
+            let health = self.health_mut(endpoint);
+            health.in_flight = health.in_flight.saturating_sub(1);
         }
         Some(request)
     }
 }
 
-/// The refusal that a failed plan means for those that wait.
+/// The refusal of waiting requests after a failed placement, if they are to be refused.
 fn refusal_of(reason: NoPlace) -> Option<RefusalKind> {
     match reason {
         NoPlace::ShareUsed => Some(RefusalKind::ShareUsed),
@@ -565,8 +571,8 @@
     }
 }
 
-/// Whether a call that was sent and given up ran, as the side says.
-fn ran(answer: CancelAnswer) -> Ran {
+/// Whether a cancelled call ran, by the side's answer.
+fn ran_after_cancel(answer: CancelAnswer) -> Ran {
     match answer {
         CancelAnswer::NotRun => Ran::No,
         CancelAnswer::Ran => Ran::Yes,
--- a/crates/decide/src/entry/queue.rs
+++ b/crates/decide/src/entry/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for one model or service.
+//! The queue of requests for one model or service.
 
 use std::collections::BTreeSet;
 
@@ -7,10 +7,10 @@
 
 use super::RequestId;
 
-/// After this many picks by class, one goes to the earliest deadline of all classes.
-const FAIR_EVERY: u32 = 8;
+/// One pick in this many goes to the earliest deadline of all classes.
+const DEADLINE_PICK_INTERVAL: u32 = 8;
 
-/// A queue in the order of class and deadline.
+/// A queue ordered by class and deadline.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
     by_class: BTreeSet<(Class, Millis, RequestId)>,
@@ -32,20 +32,20 @@
     /// The request to serve next; it stays in the queue.
     ///
     /// An urgent class goes first, but a steady stream of it would starve the others until their
-    /// deadlines. One pick in eight therefore goes to the earliest deadline whatever its class.
+    /// deadlines. One pick in eight therefore goes to the earliest deadline of any class.
     pub(crate) fn first(&self) -> Option<RequestId> {
-        if self.picks % FAIR_EVERY == FAIR_EVERY - 1 {
+        if self.picks % DEADLINE_PICK_INTERVAL == DEADLINE_PICK_INTERVAL - 1 {
             return self.by_deadline.first().map(|(_, _, id)| *id);
         }
         self.by_class.first().map(|(_, _, id)| *id)
     }
 
-    /// Counts a pick that was carried out.
+    /// Counts a pick whose request was sent.
     pub(crate) fn picked(&mut self) {
         self.picks = self.picks.wrapping_add(1);
     }
 
-    /// The earliest deadline and the most urgent class that wait.
+    /// The earliest deadline and the most urgent class in the queue.
     pub(crate) fn pressure(&self) -> Option<(Millis, Class)> {
         let (deadline, _, _) = self.by_deadline.first()?;
         let (class, _, _) = self.by_class.first()?;
--- a/crates/decide/src/entry/requests.rs
+++ b/crates/decide/src/entry/requests.rs
@@ -1,9 +1,12 @@
-//! A request's life: taken in, queued, sent, answered or refused exactly once.
+//! The life cycle of a request: admitted, queued, sent, and answered or refused exactly once.
 
 use citronrill_base::{EndpointKey, Key, Millis, ModelKey, ServiceKey, hash_bytes};
 use citronrill_config::{ApiKeyHash, Class, ServiceKind};
 
-use super::{Arrival, Effect, Entry, Request, RequestId, State, Target, Wish, claims::Claim, ran};
+use super::{
+    Arrival, Effect, Entry, Request, RequestId, State, Target, Wish, claims::Claim,
+    ran_after_cancel,
+};
 use crate::{
     call::{CancelAnswer, Decline},
     placement::load_ms,
@@ -12,32 +15,32 @@
     rows::{EndpointRow, Phase, Tier},
 };
 
-/// Retries that may be saved up.
-pub(super) const RETRY_LIMIT: f64 = 50.0;
-/// Part of a retry that each new request earns: retries add at most a fifth to the load.
-const RETRY_EARNED: f64 = 0.2;
-/// Times a request is sent at most.
-const TRY_LIMIT: u8 = 5;
-/// How long a side has, past the deadline, to say whether a cancelled call ran, in milliseconds.
+/// Maximum number of accumulated retry tokens.
+pub(super) const RETRY_BUDGET: f64 = 50.0;
+/// Retry tokens that each new request adds: retries add at most a fifth to the load.
+const RETRY_RATIO: f64 = 0.2;
+/// Maximum number of attempts per request.
+const MAX_ATTEMPTS: u8 = 5;
+/// Time past the deadline for a side to report whether a cancelled call ran, in milliseconds.
 pub const CANCEL_GRACE_MS: u64 = 300;
-/// How long a silent endpoint is avoided, doubled with each further silence, in milliseconds.
-const SUSPECT_MS: u64 = 1_000;
-const SUSPECT_LIMIT_MS: u64 = 30_000;
-/// How long a busy endpoint is avoided at most, in milliseconds.
-const BUSY_MS: u64 = 120;
-/// Time from a decision to the start of its load, in milliseconds, for estimates.
-const DECIDE_MS: u64 = 50;
-/// When to come back after a refusal for lack of room, in milliseconds.
-const ROOM_RETRY_MS: u64 = 2_000;
-/// When to come back while the table is away, in milliseconds.
+/// Backoff after an endpoint did not respond, doubled with each further failure, in milliseconds.
+const SUSPECT_BACKOFF_MS: u64 = 1_000;
+const SUSPECT_BACKOFF_MAX_MS: u64 = 30_000;
+/// Upper bound of the random backoff from a busy endpoint, in milliseconds.
+const BUSY_BACKOFF_MAX_MS: u64 = 120;
+/// Estimated time from a decision to the start of its load, in milliseconds.
+const DECISION_MS: u64 = 50;
+/// Suggested retry delay after a refusal for lack of capacity, in milliseconds.
+const CAPACITY_RETRY_MS: u64 = 2_000;
+/// Suggested retry delay while the platform table is unavailable, in milliseconds.
 pub(super) const STORE_RETRY_MS: u64 = 5_000;
-/// When to come back after a refusal because of load, in milliseconds.
+/// Suggested retry delay after a refusal because of load, in milliseconds.
 const LOAD_RETRY_MS: u64 = 1_000;
-/// Weight of the latest service time in the average.
-const SERVICE_WEIGHT: f64 = 0.1;
+/// Weight of the latest sample in the moving average of the service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
-/// What is known of a request's target before it is taken in.
-struct Terms {
+/// A request's target as found in the catalogue.
+struct ResolvedTarget {
     target: Target,
     service: ServiceKey,
     repeatable: bool,
@@ -57,9 +60,9 @@
         }
         let org = self.catalogue.organisation_of(&arrival.key);
         let org = org.ok_or(Refusal::not_run(RefusalKind::Unauthorised))?;
-        let terms = self.terms(&arrival.wish)?;
-        let service = &self.catalogue.services[&terms.service];
-        // Another organisation's model is refused in the words of one that does not exist.
+        let resolved = self.resolve(&arrival.wish)?;
+        let service = &self.catalogue.services[&resolved.service];
+        // Another organisation's model is refused like one that does not exist.
         if service.org != org {
             let kind = match arrival.wish {
                 Wish::Model(_) => RefusalKind::UnknownModel,
@@ -70,41 +73,41 @@
         let slack = arrival.deadline_ms.unwrap_or(service.deadline_ms).min(service.deadline_ms);
         let (class, queue_limit) = (service.class, service.queue as usize);
         let deadline = self.now + slack;
-        self.check_room(&terms, org, queue_limit)?;
-        if let Target::Model(model) = terms.target {
+        self.check_limits(&resolved, org, queue_limit)?;
+        if let Target::Model(model) = resolved.target {
             self.report_use(model, out);
-            self.check_time(model, deadline, out)?;
+            self.check_deadline(model, deadline, out)?;
         }
-        let claim = arrival.once.filter(|_| !terms.repeatable);
+        let claim = arrival.once.filter(|_| !resolved.repeatable);
         if claim.is_some() && !self.store_up {
             return Err(Refusal::not_run(RefusalKind::StoreDown).retry_in(STORE_RETRY_MS));
         }
         let org_name = self.catalogue.organisations[&org].name.clone();
         let claim = claim.map(|hash| Claim::new(&org_name, hash, arrival.content, self.random()));
         let request = Request {
-            target: terms.target,
+            target: resolved.target,
             org,
             class,
             deadline,
             sent_at: self.now,
-            repeatable: terms.repeatable,
+            repeatable: resolved.repeatable,
             prefix: arrival.prefix,
-            tries: 0,
-            avoid: Vec::new(),
+            attempts: 0,
+            excluded: Vec::new(),
             owner: 0,
             may_have_run: false,
             claim,
             state: State::Waiting,
         };
-        self.retry_tokens = (self.retry_tokens + RETRY_EARNED).min(RETRY_LIMIT);
+        self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(RETRY_BUDGET);
         self.deadlines.insert((deadline, arrival.id));
-        *self.per_org.entry(org).or_default() += 1;
+        *self.org_requests.entry(org).or_default() += 1;
         self.requests.insert(arrival.id, request);
         self.claim_or_queue(arrival.id, out);
         Ok(())
     }
 
-    fn terms(&self, wish: &Wish) -> Result<Terms, Refusal> {
+    fn resolve(&self, wish: &Wish) -> Result<ResolvedTarget, Refusal> {
         let registry = &self.view.registry;
         match wish {
             Wish::Model(name) => {
@@ -113,45 +116,50 @@
                 let (key, model) = found.ok_or(Refusal::not_run(RefusalKind::UnknownModel))?;
                 let service = &self.catalogue.services[&model.service];
                 let repeatable = service.repeatable;
-                Ok(Terms { target: Target::Model(key), service: model.service, repeatable })
+                Ok(ResolvedTarget {
+                    target: Target::Model(key),
+                    service: model.service,
+                    repeatable,
+                })
             }
             Wish::Plain { service, verb, path } => {
                 let key = registry.services.get(service);
                 let found = key.and_then(|key| Some((key, self.catalogue.services.get(&key)?)));
                 let found = found.filter(|(_, service)| service.kind == ServiceKind::Plain);
                 let (key, spec) = found.ok_or(Refusal::not_run(RefusalKind::UnknownService))?;
-                let once = spec.unrepeatable.iter();
-                let mut once = once.filter(|it| it.verb == *verb && path.starts_with(&it.path));
-                let repeatable = once.next().is_none();
-                Ok(Terms { target: Target::Plain(key), service: key, repeatable })
+                let rules = spec.unrepeatable.iter();
+                let mut rules =
+                    rules.filter(|rule| rule.verb == *verb && path.starts_with(&rule.path));
+                let repeatable = rules.next().is_none();
+                Ok(ResolvedTarget { target: Target::Plain(key), service: key, repeatable })
             }
         }
     }
 
-    fn check_room(
+    fn check_limits(
         &self,
-        terms: &Terms,
+        resolved: &ResolvedTarget,
         org: citronrill_base::OrgKey,
         queue_limit: usize,
     ) -> Result<(), Refusal> {
         let limit = self.profile.request_limit;
         let total = self.requests.len();
-        let mine = self.per_org.get(&org).copied().unwrap_or(0);
+        let own = self.org_requests.get(&org).copied().unwrap_or(0);
         let orgs = self.catalogue.organisations.len().max(1);
-        // From half full on, no organisation takes more than its part.
-        if total >= limit || (total >= limit / 2 && mine >= limit / orgs) {
+        // When the process is at least half full, no organisation may exceed its equal part.
+        if total >= limit || (total >= limit / 2 && own >= limit / orgs) {
             return Err(Refusal::not_run(RefusalKind::Overloaded).retry_in(LOAD_RETRY_MS));
         }
-        let waiting = self.queues.get(&terms.target).map_or(0, |queue| queue.len());
+        let waiting = self.queues.get(&resolved.target).map_or(0, |queue| queue.len());
         if waiting >= queue_limit {
             return Err(Refusal::not_run(RefusalKind::QueueFull).retry_in(LOAD_RETRY_MS));
         }
         Ok(())
     }
 
-    /// Refuses at once what cannot be served in time; the load is asked for all the same, so that
-    /// the caller finds the model warm when it comes back.
-    fn check_time(
+    /// Refuses a request that cannot be served before its deadline. The load is requested all the
+    /// same, so that the model is warm when the caller retries.
+    fn check_deadline(
         &mut self,
         model: ModelKey,
         deadline: Millis,
@@ -161,8 +169,8 @@
             return Err(Refusal::not_run(RefusalKind::LoadFailed).retry_in(wait));
         }
         let phases = self.view.replicas(model).map(|(_, phase)| phase).collect::<Vec<_>>();
-        let coming = phases.iter().any(|phase| *phase != Phase::Unloading);
-        if !coming && !self.store_up {
+        let usable = phases.iter().any(|phase| *phase != Phase::Unloading);
+        if !usable && !self.store_up {
             return Err(Refusal::not_run(RefusalKind::StoreDown).retry_in(STORE_RETRY_MS));
         }
         let wait = if phases.contains(&Phase::Ready) {
@@ -174,7 +182,7 @@
             return Ok(());
         }
         if !phases.contains(&Phase::Ready) {
-            self.want(model, deadline, Class::Normal, out);
+            self.request_replica(model, deadline, Class::Normal, out);
         }
         Err(Refusal::not_run(RefusalKind::TooLate).retry_in(wait.max(1)))
     }
@@ -184,11 +192,12 @@
         let target = Target::Model(model);
         let Some(queue) = self.queues.get(&target) else { return 0 };
         let service_ms = self.service_ms.get(&target).copied().unwrap_or(0.0);
-        let slots = self.candidates(target, 0, &[]).iter().map(|it| it.slots).sum::<u32>();
+        let slots =
+            self.candidates(target, 0, &[]).iter().map(|candidate| candidate.slots).sum::<u32>();
         (queue.len() as f64 * service_ms / f64::from(slots.max(1))) as u64
     }
 
-    /// Expected time until a model that does not serve will, in milliseconds.
+    /// Expected time until a model without a ready replica has one, in milliseconds.
     fn load_wait(&self, model: ModelKey) -> u64 {
         let Some(spec) = self.catalogue.models.get(&model) else { return 0 };
         let since = self.loading_since.get(&model);
@@ -212,7 +221,7 @@
         let base_ms = base
             .and_then(|base| self.catalogue.models.get(&base))
             .map_or(0, |base| load_ms(base, tier));
-        DECIDE_MS + load_ms(spec, tier) + base_ms + queue
+        DECISION_MS + load_ms(spec, tier) + base_ms + queue
     }
 
     pub(super) fn enqueue(&mut self, id: RequestId, out: &mut Vec<Effect>) {
@@ -223,12 +232,12 @@
         self.dispatch(target, out);
     }
 
-    /// Sends what can be sent to the target's replicas; asks for one if there is none.
+    /// Sends queued requests to the target's replicas; requests a replica for those that remain.
     pub(super) fn dispatch(&mut self, target: Target, out: &mut Vec<Effect>) {
         while let Some(id) = self.queues.get(&target).and_then(|queue| queue.first()) {
             let request = &self.requests[&id];
-            let mut candidates = self.candidates(target, request.prefix, &request.avoid);
-            if candidates.is_empty() && !request.avoid.is_empty() {
+            let mut candidates = self.candidates(target, request.prefix, &request.excluded);
+            if candidates.is_empty() && !request.excluded.is_empty() {
                 candidates = self.candidates(target, request.prefix, &[]);
             }
             let Some(index) = self.policies.router.pick(&candidates, &mut self.rng) else { break };
@@ -240,28 +249,28 @@
         if let (Target::Model(model), Some(queue)) = (target, self.queues.get(&target))
             && let Some((deadline, class)) = queue.pressure()
         {
-            self.want(model, deadline, class, out);
+            self.request_replica(model, deadline, class, out);
         }
     }
 
-    /// Replicas that can take one more request of this entry now.
-    fn candidates(&self, target: Target, prefix: u64, avoid: &[EndpointKey]) -> Vec<Candidate> {
+    /// Replicas that can take one more request of this entry.
+    fn candidates(&self, target: Target, prefix: u64, excluded: &[EndpointKey]) -> Vec<Candidate> {
         match target {
             Target::Model(model) => self
                 .view
                 .replicas(model)
                 .filter(|(endpoint, phase)| {
-                    let misplaced = self.misplaced.get(&(*endpoint, model));
+                    let stale_version = self.stale_replicas.get(&(*endpoint, model));
                     let current = self.view.endpoint_version(*endpoint);
-                    *phase == Phase::Ready && misplaced.is_none_or(|version| *version < current)
+                    *phase == Phase::Ready && stale_version.is_none_or(|version| *version < current)
                 })
-                .filter_map(|(endpoint, _)| self.candidate(endpoint, prefix, avoid))
+                .filter_map(|(endpoint, _)| self.candidate(endpoint, prefix, excluded))
                 .collect(),
             Target::Plain(service) => {
                 let endpoints = self.catalogue.services.get(&service);
-                let endpoints = endpoints.map(|it| it.endpoints.as_slice()).unwrap_or_default();
+                let endpoints = endpoints.map(|spec| spec.endpoints.as_slice()).unwrap_or_default();
                 let found = endpoints.iter();
-                found.filter_map(|endpoint| self.candidate(*endpoint, prefix, avoid)).collect()
+                found.filter_map(|endpoint| self.candidate(*endpoint, prefix, excluded)).collect()
             }
         }
     }
@@ -270,14 +279,19 @@
         &self,
         endpoint: EndpointKey,
         prefix: u64,
-        avoid: &[EndpointKey],
+        excluded: &[EndpointKey],
     ) -> Option<Candidate> {
         let row = self.view.endpoint(endpoint)?;
-        let contact = self.contacts.get(endpoint.index()).cloned().unwrap_or_default();
-        let left = row.leaving || contact.left_owner == Some(owner(row));
-        let away = self.now < contact.suspect_until || self.now < contact.busy_until;
-        let full = u64::from(contact.running) >= row.slots;
-        if left || away || full || self.avoided.contains(&endpoint) || avoid.contains(&endpoint) {
+        let health = self.endpoint_health.get(endpoint.index()).cloned().unwrap_or_default();
+        let leaving = row.leaving || health.leaving_owner == Some(owner(row));
+        let suspended = self.now < health.suspect_until || self.now < health.busy_until;
+        let full = u64::from(health.in_flight) >= row.slots;
+        if leaving
+            || suspended
+            || full
+            || self.departing.contains(&endpoint)
+            || excluded.contains(&endpoint)
+        {
             return None;
         }
         let name = self.view.endpoint_name(endpoint);
@@ -287,9 +301,9 @@
         };
         Some(Candidate {
             endpoint,
-            own: contact.running,
-            reported: contact.reported.saturating_sub(contact.running),
-            age_ms: self.now.since(contact.reported_at),
+            own: health.in_flight,
+            reported: health.reported.saturating_sub(health.in_flight),
+            age_ms: self.now.since(health.reported_at),
             slots: row.slots as u32,
             near: row.zone == self.profile.zone,
             affinity,
@@ -304,8 +318,8 @@
         let (address, owner) = (row.address.clone(), owner(row));
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.owner = owner;
-        request.state = State::Sent { endpoint, call, began: false };
-        request.tries += 1;
+        request.state = State::Sent { endpoint, call, response_started: false };
+        request.attempts += 1;
         request.sent_at = now;
         let (target, class, deadline) = (request.target, request.class, request.deadline);
         let (org, claimed) = (request.org, request.claim.is_some());
@@ -315,7 +329,7 @@
                 self.queues.remove(&target);
             }
         }
-        self.contact(endpoint).running += 1;
+        self.health_mut(endpoint).in_flight += 1;
         let model = match target {
             Target::Model(model) => self.view.registry.models.name(model).to_owned(),
             Target::Plain(_) => String::new(),
@@ -333,27 +347,29 @@
         });
     }
 
-    pub(super) fn began(&mut self, id: RequestId) {
-        if let Some(Request { state: State::Sent { began, .. }, .. }) = self.requests.get_mut(&id) {
-            *began = true;
+    pub(super) fn response_started(&mut self, id: RequestId) {
+        if let Some(Request { state: State::Sent { response_started, .. }, .. }) =
+            self.requests.get_mut(&id)
+        {
+            *response_started = true;
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn response_finished(
         &mut self,
         id: RequestId,
         load: u32,
         answer: Option<super::Answer>,
         out: &mut Vec<Effect>,
     ) {
-        let Some(request) = self.forget(id) else { return };
-        let took = self.now.since(request.sent_at) as f64;
-        let average = self.service_ms.entry(request.target).or_insert(took);
-        *average += (took - *average) * SERVICE_WEIGHT;
+        let Some(request) = self.remove_request(id) else { return };
+        let elapsed_ms = self.now.since(request.sent_at) as f64;
+        let average = self.service_ms.entry(request.target).or_insert(elapsed_ms);
+        *average += (elapsed_ms - *average) * SERVICE_TIME_WEIGHT;
         if let State::Sent { endpoint, .. } | State::Cancelling { endpoint, .. } = request.state {
             self.report_load(endpoint, load);
-            let contact = self.contact(endpoint);
-            contact.silences = 0;
+            let health = self.health_mut(endpoint);
+            health.failures = 0;
         }
         if let (Some(claim), Some(answer)) = (request.claim, answer) {
             self.close_claim(claim, answer, out);
@@ -363,25 +379,26 @@
 
     fn report_load(&mut self, endpoint: EndpointKey, load: u32) {
         let now = self.now;
-        let contact = self.contact(endpoint);
-        contact.reported = load;
-        contact.reported_at = now;
+        let health = self.health_mut(endpoint);
+        health.reported = load;
+        health.reported_at = now;
     }
 
-    /// Takes a sent request back; gives its endpoint.
-    fn take_back(&mut self, id: RequestId) -> Option<EndpointKey> {
+    /// Withdraws the current attempt; returns its endpoint.
+    fn withdraw(&mut self, id: RequestId) -> Option<EndpointKey> {
         let request = self.requests.get_mut(&id)?;
         let State::Sent { endpoint, .. } = request.state else { return None };
         request.state = State::Waiting;
-        if !request.avoid.contains(&endpoint) {
-            request.avoid.push(endpoint);
+        if !request.excluded.contains(&endpoint) {
+            request.excluded.push(endpoint);
         }
-        let contact = self.contact(endpoint);
-        contact.running = contact.running.saturating_sub(1);
+        let health = self.health_mut(endpoint);
+        health.in_flight = health.in_flight.saturating_sub(1);
         Some(endpoint)
     }
 
-    /// The side promises that the call will not run, so it may go elsewhere whatever it is.
+    /// Handles a decline. The side guarantees that the call will not run, so any call may be sent
+    /// to another endpoint.
     pub(super) fn declined(
         &mut self,
         id: RequestId,
@@ -390,88 +407,89 @@
         out: &mut Vec<Effect>,
     ) {
         if let Some(Request { state: State::Cancelling { .. }, .. }) = self.requests.get(&id) {
-            return self.cancelled(id, CancelAnswer::NotRun, out);
+            return self.cancel_answered(id, CancelAnswer::NotRun, out);
         }
-        let Some(endpoint) = self.take_back(id) else { return };
+        let Some(endpoint) = self.withdraw(id) else { return };
         self.report_load(endpoint, load);
         let target = self.requests[&id].target;
         match why {
             Decline::Busy => {
-                let pause = self.random() % BUSY_MS + 1;
+                let pause = self.random() % BUSY_BACKOFF_MAX_MS + 1;
                 let until = self.now + pause;
-                self.contact(endpoint).busy_until = until;
+                self.health_mut(endpoint).busy_until = until;
             }
             Decline::Leaving => {
-                // The side that was asked says so, and not the one that owns the endpoint by now.
+                // The decline comes from the side that was asked; another may own the endpoint now.
                 let owner = self.requests[&id].owner;
-                self.contact(endpoint).left_owner = Some(owner);
+                self.health_mut(endpoint).leaving_owner = Some(owner);
             }
             Decline::NotLoaded => {
                 if let Target::Model(model) = target {
                     let version = self.view.endpoint_version(endpoint);
-                    self.misplaced.insert((endpoint, model), version);
+                    self.stale_replicas.insert((endpoint, model), version);
                 }
             }
             Decline::Expired => {
-                return self.refuse_unrun(id, Refusal::not_run(RefusalKind::Expired), out);
+                return self.refuse_not_run(id, Refusal::not_run(RefusalKind::Expired), out);
             }
-            Decline::EndpointDown => self.silent(endpoint),
+            Decline::EndpointDown => self.suspect(endpoint),
             Decline::OtherSession | Decline::Cancelled => {}
         }
-        self.send_again(id, out);
+        self.retry(id, out);
     }
 
-    /// The call never left: it may go elsewhere whatever it is.
-    pub(super) fn unsent(&mut self, id: RequestId, out: &mut Vec<Effect>) {
+    /// Handles an attempt that never left the process: any call may be sent to another endpoint.
+    pub(super) fn not_sent(&mut self, id: RequestId, out: &mut Vec<Effect>) {
         if let Some(Request { state: State::Cancelling { .. }, .. }) = self.requests.get(&id) {
-            return self.cancelled(id, CancelAnswer::NotRun, out);
+            return self.cancel_answered(id, CancelAnswer::NotRun, out);
         }
-        if let Some(endpoint) = self.take_back(id) {
-            self.note_silence(id, endpoint);
-            self.send_again(id, out);
+        if let Some(endpoint) = self.withdraw(id) {
+            self.suspect_owner(id, endpoint);
+            self.retry(id, out);
         }
     }
 
-    /// Puts a request that surely did not run back into its queue, within the retry budget.
-    fn send_again(&mut self, id: RequestId, out: &mut Vec<Effect>) {
-        let tries = self.requests.get(&id).map_or(0, |request| request.tries);
-        if tries >= TRY_LIMIT || self.retry_tokens < 1.0 {
+    /// Puts a withdrawn request back into its queue, within the retry budget.
+    fn retry(&mut self, id: RequestId, out: &mut Vec<Effect>) {
+        let attempts = self.requests.get(&id).map_or(0, |request| request.attempts);
+        if attempts >= MAX_ATTEMPTS || self.retry_tokens < 1.0 {
             let refusal = Refusal::not_run(RefusalKind::Overloaded).retry_in(LOAD_RETRY_MS);
-            return self.refuse_unrun(id, refusal, out);
+            return self.refuse_not_run(id, refusal, out);
         }
         self.retry_tokens -= 1.0;
         self.enqueue(id, out);
     }
 
-    /// The call was sent and may have run; only one that may be repeated is sent again, and only
-    /// while the caller has seen nothing of its answer.
-    pub(super) fn lost(&mut self, id: RequestId, out: &mut Vec<Effect>) {
+    /// Handles a lost connection after which the call may have run. Only a repeatable call is
+    /// retried, and only if no part of its answer has reached the caller.
+    pub(super) fn connection_lost(&mut self, id: RequestId, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let (endpoint, began) = match request.state {
-            State::Sent { endpoint, began, .. } => (endpoint, began),
+        let (endpoint, response_started) = match request.state {
+            State::Sent { endpoint, response_started, .. } => (endpoint, response_started),
             State::Cancelling { .. } => {
-                return self.cancelled(id, CancelAnswer::Unknown, out);
+                return self.cancel_answered(id, CancelAnswer::Unknown, out);
             }
             State::Claiming | State::Waiting => return,
         };
-        let again = request.repeatable && !began && request.tries < TRY_LIMIT;
-        self.note_silence(id, endpoint);
-        if again && self.retry_tokens >= 1.0 {
-            self.take_back(id);
+        let retry = request.repeatable && !response_started && request.attempts < MAX_ATTEMPTS;
+        self.suspect_owner(id, endpoint);
+        if retry && self.retry_tokens >= 1.0 {
+            self.withdraw(id);
             if let Some(request) = self.requests.get_mut(&id) {
                 request.may_have_run = true;
             }
-            return self.send_again(id, out);
+            return self.retry(id, out);
         }
-        let ran = if began { Ran::Yes } else { Ran::Unknown };
+        let ran = if response_started { Ran::Yes } else { Ran::Unknown };
         self.refuse(id, Refusal { kind: RefusalKind::Lost, ran, retry_ms: None }, out);
     }
 
-    pub(super) fn spent(&mut self, id: RequestId, ran: Ran, out: &mut Vec<Effect>) {
+    /// Handles a failed attempt whose request body was consumed, so that it cannot be retried.
+    pub(super) fn body_consumed(&mut self, id: RequestId, ran: Ran, out: &mut Vec<Effect>) {
         match ran {
             Ran::No => {
                 let refusal = Refusal::not_run(RefusalKind::Overloaded).retry_in(LOAD_RETRY_MS);
-                self.refuse_unrun(id, refusal, out);
+                self.refuse_not_run(id, refusal, out);
             }
             Ran::Unknown | Ran::Yes => {
                 self.refuse(id, Refusal { kind: RefusalKind::Lost, ran, retry_ms: None }, out);
@@ -479,11 +497,16 @@
         }
     }
 
-    /// Refuses a request whose last sending surely did not run, and gives up its claim.
+    /// Refuses a request whose last attempt did not run, and releases its claim.
     ///
-    /// An earlier sending may have run all the same: one whose side was lost is sent again if it may
-    /// be repeated, and a refusal of the second sending says nothing of the first.
-    pub(super) fn refuse_unrun(&mut self, id: RequestId, refusal: Refusal, out: &mut Vec<Effect>) {
+    /// An earlier attempt may have run: a repeatable call is retried after a lost connection, and
+    /// the refusal of the second attempt does not cover the first.
+    pub(super) fn refuse_not_run(
+        &mut self,
+        id: RequestId,
+        refusal: Refusal,
+        out: &mut Vec<Effect>,
+    ) {
         if self.requests.get(&id).is_some_and(|request| request.may_have_run) {
             return self.refuse(id, Refusal { ran: Ran::Unknown, ..refusal }, out);
         }
@@ -494,73 +517,78 @@
         self.refuse(id, refusal, out);
     }
 
-    /// Takes note that the side that a request was sent to did not answer.
+    /// Marks the endpoint as suspect if the side that was asked still owns it.
     ///
-    /// What an earlier process beside the endpoint left unanswered says nothing of the present one.
-    fn note_silence(&mut self, id: RequestId, endpoint: EndpointKey) {
-        let asked = self.requests.get(&id).map(|request| request.owner);
-        let present = self.view.endpoint(endpoint).map(owner);
-        if asked == present {
-            self.silent(endpoint);
+    /// Calls lost by an earlier side process are no evidence against the current one.
+    fn suspect_owner(&mut self, id: RequestId, endpoint: EndpointKey) {
+        let called = self.requests.get(&id).map(|request| request.owner);
+        let current = self.view.endpoint(endpoint).map(owner);
+        if called == current {
+            self.suspect(endpoint);
         }
     }
 
-    /// Leaves an endpoint alone for a while, longer each time.
+    /// Suspends routing to an endpoint, with exponential backoff.
     ///
-    /// All calls that were on their way to a side when it ended are lost at one moment, and count as
-    /// one silence: six of them once doubled the pause six times, and callers of the side's successor
-    /// waited for 13 s.
-    pub(super) fn silent(&mut self, endpoint: EndpointKey) {
+    /// All calls in flight to a side are lost together when it ends, and count as one failure. When
+    /// each counted, six lost calls doubled the backoff six times, and callers of the next side
+    /// process waited for 13 s.
+    pub(super) fn suspect(&mut self, endpoint: EndpointKey) {
         let now = self.now;
-        let contact = self.contact(endpoint);
-        if now < contact.suspect_until {
+        let health = self.health_mut(endpoint);
+        if now < health.suspect_until {
             return;
         }
-        contact.silences = (contact.silences + 1).min(16);
-        let pause = (SUSPECT_MS << (contact.silences - 1)).min(SUSPECT_LIMIT_MS);
-        contact.suspect_until = now + pause;
+        health.failures = (health.failures + 1).min(16);
+        let pause = (SUSPECT_BACKOFF_MS << (health.failures - 1)).min(SUSPECT_BACKOFF_MAX_MS);
+        health.suspect_until = now + pause;
     }
 
-    /// Gives every request whose deadline has passed its final answer, or asks the side for it.
+    /// Refuses requests whose deadline has passed; cancels those in flight at their side first.
     pub(super) fn expire(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
         let due = self.deadlines.iter().take_while(|(deadline, _)| *deadline <= now);
         let due = due.map(|(_, id)| *id).collect::<Vec<_>>();
         for id in due {
-            self.expire_one(id, out);
+            self.expire_request(id, out);
         }
     }
 
-    fn expire_one(&mut self, id: RequestId, out: &mut Vec<Effect>) {
+    fn expire_request(&mut self, id: RequestId, out: &mut Vec<Effect>) {
         let until = self.now + CANCEL_GRACE_MS;
         let Some(request) = self.requests.get_mut(&id) else { return };
         match request.state {
             State::Waiting => {
                 let refusal = Refusal::not_run(RefusalKind::Expired).retry_in(LOAD_RETRY_MS);
-                self.refuse_unrun(id, refusal, out);
+                self.refuse_not_run(id, refusal, out);
             }
-            // The claim may be in the table, but nobody has sent the call.
+            // The claim may be in the platform table, but the call was not sent.
             State::Claiming => {
-                self.refuse_unrun(id, Refusal::not_run(RefusalKind::Expired), out);
+                self.refuse_not_run(id, Refusal::not_run(RefusalKind::Expired), out);
             }
-            State::Sent { endpoint, call, began } => {
-                request.state = State::Cancelling { endpoint, call, began, until };
+            State::Sent { endpoint, call, response_started } => {
+                request.state = State::Cancelling { endpoint, call, response_started, until };
                 out.push(Effect::Cancel { id, call, endpoint });
             }
             State::Cancelling { until, .. } if until <= self.now => {
-                self.cancelled(id, CancelAnswer::Unknown, out);
+                self.cancel_answered(id, CancelAnswer::Unknown, out);
             }
             State::Cancelling { .. } => {}
         }
     }
 
-    pub(super) fn cancelled(&mut self, id: RequestId, answer: CancelAnswer, out: &mut Vec<Effect>) {
+    pub(super) fn cancel_answered(
+        &mut self,
+        id: RequestId,
+        answer: CancelAnswer,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(request) = self.requests.get(&id) else { return };
-        let State::Cancelling { began, .. } = request.state else { return };
-        let ran = if began { Ran::Yes } else { ran(answer) };
+        let State::Cancelling { response_started, .. } = request.state else { return };
+        let ran = if response_started { Ran::Yes } else { ran_after_cancel(answer) };
         let refusal = Refusal { kind: RefusalKind::Expired, ran, retry_ms: None };
         match ran {
-            Ran::No => self.refuse_unrun(id, refusal, out),
+            Ran::No => self.refuse_not_run(id, refusal, out),
             Ran::Unknown | Ran::Yes => self.refuse(id, refusal, out),
         }
     }
@@ -570,11 +598,11 @@
         match request.state {
             State::Sent { endpoint, call, .. } => {
                 out.push(Effect::Cancel { id, call, endpoint });
-                self.forget(id);
+                self.remove_request(id);
             }
-            State::Cancelling { .. } => drop(self.forget(id)),
+            State::Cancelling { .. } => drop(self.remove_request(id)),
             State::Claiming | State::Waiting => {
-                let claim = self.forget(id).and_then(|request| request.claim);
+                let claim = self.remove_request(id).and_then(|request| request.claim);
                 if let Some(claim) = claim {
                     self.drop_claim(claim, out);
                 }
@@ -582,7 +610,7 @@
         }
     }
 
-    /// Refuses all that wait for a model that cannot be loaded.
+    /// Refuses all queued requests of a target.
     pub(super) fn refuse_waiting(
         &mut self,
         target: Target,
@@ -591,7 +619,7 @@
     ) {
         let ids = self.queues.get(&target).map(|queue| queue.ids()).unwrap_or_default();
         for id in ids {
-            self.refuse_unrun(id, Refusal::not_run(kind).retry_in(ROOM_RETRY_MS), out);
+            self.refuse_not_run(id, Refusal::not_run(kind).retry_in(CAPACITY_RETRY_MS), out);
         }
     }
 
@@ -601,7 +629,7 @@
             return out.push(Effect::Models(id, Err(refusal)));
         };
         let models = self.catalogue.models.values().filter(|model| {
-            self.catalogue.services.get(&model.service).is_some_and(|it| it.org == org)
+            self.catalogue.services.get(&model.service).is_some_and(|service| service.org == org)
         });
         let mut names = models.map(|model| model.name.clone()).collect::<Vec<_>>();
         names.sort_unstable();
@@ -609,8 +637,8 @@
     }
 }
 
-/// Names the side process that owns an endpoint. The epoch alone does not: it begins anew when an
-/// instance was gone and its row was removed.
+/// Identifies the side process that owns an endpoint. The epoch alone is not unique: it restarts
+/// after the row of a gone instance was removed.
 fn owner(row: &EndpointRow) -> u64 {
     hash_bytes(format!("{}/{}", row.epoch, row.address).as_bytes())
 }
--- a/crates/decide/src/entry/state.rs
+++ b/crates/decide/src/entry/state.rs
@@ -1,4 +1,4 @@
-//! What others may ask of the entry's reducer: for dumps, tests and the lab.
+//! Read access to the entry's reducer for dumps, tests and the lab.
 
 use citronrill_config::Catalogue;
 
@@ -6,57 +6,57 @@
 use crate::{feed::Feed, view::View};
 
 impl Entry {
-    /// The version of the text in force here.
+    /// The version of the active configuration.
     pub fn version(&self) -> u64 {
         self.catalogue.version
     }
 
-    /// Whether the table itself has confirmed what is known, and not only a peer.
+    /// Whether the platform table has confirmed the known state, and not only a peer.
     pub fn confirmed(&self) -> bool {
-        self.text.confirmed
+        self.config.confirmed
     }
 
-    /// The text in force.
+    /// The compiled active configuration.
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// The whole text in force.
+    /// The source text of the active configuration.
     pub fn text(&self) -> &str {
-        &self.text.text
+        &self.config.source
     }
 
-    /// What is known of the table.
+    /// The view of the platform table.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The feed of the table's changes.
+    /// The feed of changes of the platform table.
     pub fn feed(&self) -> &Feed {
         &self.feed
     }
 
-    /// Requests that have no final answer yet.
+    /// The number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests that stand in a queue.
+    /// The number of queued requests.
     pub fn waiting_requests(&self) -> usize {
         self.queues.values().map(WaitQueue::len).sum()
     }
 
-    /// Models whose home this process believes to be.
+    /// The number of models that this process coordinates in its own view.
     pub fn home_models(&self) -> usize {
-        self.homes.len()
+        self.coordinations.len()
     }
 
-    /// Whether new requests are taken.
+    /// Whether new requests are accepted.
     pub fn ready(&self) -> bool {
         !self.draining && self.catalogue.version > 0
     }
 
-    /// Whether the table answered last.
+    /// Whether the platform table counts as up.
     pub fn store_is_up(&self) -> bool {
         self.store_up
     }
--- a/crates/decide/src/entry/types.rs
+++ b/crates/decide/src/entry/types.rs
@@ -1,4 +1,4 @@
-//! What goes into an entry's reducer and what comes out.
+//! Input and output types of the entry's reducer.
 
 use citronrill_base::{EndpointKey, ModelKey, Outcome, Row, ServiceKey, Txn};
 use citronrill_config::{ApiKeyHash, Class};
@@ -15,11 +15,11 @@
     rows::HeadRow,
 };
 
-/// Names one request for the life of the process; never reused.
+/// Identifies one request within the process; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// What a caller asks for.
+/// The target that a caller asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Wish {
     /// A model or adapter, by name.
@@ -30,7 +30,7 @@
         service: String,
         /// The HTTP method.
         verb: String,
-        /// The path at the service, from `/`.
+        /// The path at the service, beginning with `/`.
         path: String,
     },
 }
@@ -38,155 +38,156 @@
 /// A caller's request.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Its name.
+    /// Identifies the request.
     pub id: RequestId,
     /// Hash of the caller's API key.
     pub key: ApiKeyHash,
-    /// What it asks for.
+    /// The requested target.
     pub wish: Wish,
-    /// Milliseconds that the caller gives it; the service's deadline if it gives none.
+    /// The caller's deadline in milliseconds; `None` means the service's deadline.
     pub deadline_ms: Option<u64>,
     /// Hash of the caller's idempotency key.
     pub once: Option<u64>,
     /// Hash of the request's body.
     pub content: u64,
-    /// Hash of the prompt's beginning; 0 if there is none.
+    /// Hash of the prompt's prefix; 0 if there is none.
     pub prefix: u64,
 }
 
-/// Where a request can be served.
+/// The model or plain service that a request is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum Target {
     Model(ModelKey),
     Plain(ServiceKey),
 }
 
-/// An instance as the platform's list has it.
+/// An instance in the platform's instance list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listed {
     /// Its name, address and availability zone.
     pub peer: Peer,
-    /// Whether an entry runs on it, and not a side.
+    /// Whether the instance runs an entry rather than a side.
     pub entry: bool,
-    /// Whether it will be taken away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
 
-/// What an entry's reducer is told.
+/// An input of the entry's reducer.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time has passed; several times a second, with the minute after midnight.
+    /// Time has passed; sent several times a second.
     Tick {
-        /// Minute of the day, for learning its pattern only.
+        /// Minutes after midnight, used only to learn daily traffic patterns.
         minute: u16,
     },
-    /// Rows that were read from the table.
+    /// Rows that were read from the platform table.
     Rows(Vec<Row>),
-    /// Rows that a side or another entry hands on ahead of the feed.
+    /// Rows that a side or another entry forwards ahead of the feed.
     Told(Vec<Row>),
-    /// A source's answer to the feed; `None` if it failed.
+    /// A source's reply to the feed's request with this id; `None` if the request failed.
     Fed(u64, Option<Page>),
-    /// A child asks for rows of the feed.
+    /// A child in the feed tree asks for rows.
     Pull {
-        /// Names the question.
+        /// Identifies the pull.
         pull: u64,
-        /// The sequence that the child knows.
+        /// The sequence up to which the child knows all rows.
         since: u64,
     },
-    /// A whole text as fetched.
+    /// A fetched configuration.
     Text {
         /// Its version.
         version: u64,
-        /// The text.
+        /// The configuration's source text.
         text: String,
     },
-    /// The platform's list.
+    /// The platform's instance list.
     Instances(Vec<Listed>),
     /// A caller's request.
     Arrive(Arrival),
-    /// A caller wants to know its models.
+    /// A caller lists its models.
     List {
-        /// Names the question.
+        /// Identifies the request.
         id: RequestId,
         /// Hash of the caller's API key.
         key: ApiKeyHash,
     },
-    /// The first part of an answer was passed on to the caller.
+    /// The first part of an attempt's answer was forwarded to the caller.
     Began(RequestId, u64),
-    /// The whole answer was passed on.
+    /// The whole answer was forwarded.
     Ended {
-        /// Which.
+        /// The request.
         id: RequestId,
-        /// The sending.
+        /// The attempt's number.
         call: u64,
-        /// Requests that the side has running.
+        /// Requests in flight at the side.
         load: u32,
         /// The answer, if the call was claimed.
         answer: Option<Answer>,
     },
-    /// The side will not run the call.
+    /// The side guarantees that it will not run the call.
     Declined {
-        /// Which.
+        /// The request.
         id: RequestId,
-        /// The sending.
+        /// The attempt's number.
         call: u64,
-        /// Why.
+        /// The side's reason.
         why: Decline,
-        /// Requests that the side has running.
+        /// Requests in flight at the side.
         load: u32,
     },
-    /// The call never left the process.
+    /// The attempt never left the process.
     Unsent(RequestId, u64),
-    /// The call was sent, and what became of it cannot be found out.
+    /// The call was sent, and its outcome cannot be determined.
     Lost(RequestId, u64),
-    /// The call failed, and its body was read and cannot be sent again; whether it ran.
+    /// The attempt failed, and the request body was consumed, so that it cannot be sent again; with
+    /// whether the call ran.
     Spent(RequestId, u64, Ran),
-    /// What a side says to a cancellation.
+    /// A side's reply to a cancellation.
     Cancelled(RequestId, u64, CancelAnswer),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone(RequestId),
-    /// An endpoint has been silent on an open connection, or takes none.
-    Silent(EndpointKey),
-    /// Another entry has requests for a model whose home this is.
+    /// An endpoint does not respond on an open connection, or accepts no connection.
+    Unresponsive(EndpointKey),
+    /// Another entry reports demand for a model that this process coordinates.
     Demand(Demand),
-    /// The model's home has heard of the demand and decides.
+    /// The model's coordinator acknowledges the demand and decides.
     Heard(String),
-    /// The model's home cannot have it loaded.
+    /// The model's coordinator found no place for the model.
     Verdict {
         /// The model's name.
         model: String,
-        /// Why.
+        /// The reason.
         kind: RefusalKind,
     },
-    /// What became of a transaction.
+    /// The outcome of a transaction.
     Committed(u64, Outcome),
-    /// What a claim's read gave; `None` if the table did not answer.
+    /// The result of a claim's read; `None` if the platform table did not answer.
     ClaimRead(RequestId, Option<Row>),
-    /// Stop: take nothing new and finish what is there.
+    /// Drain: accept no new requests and finish the open ones.
     Drain,
 }
 
-/// The answer of a call that may run once.
+/// The answer of a call that may run at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
     pub content_type: String,
-    /// The body; `None` if it is too large to keep.
+    /// The body; `None` if it is too large to store.
     pub body: Option<Vec<u8>>,
 }
 
-/// What an entry's reducer wants done.
+/// An action that the entry's reducer requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Send a request to an endpoint.
     Send {
-        /// Which.
+        /// The request.
         id: RequestId,
-        /// Names this sending.
+        /// The attempt's number, unique within the process.
         call: u64,
-        /// Where.
+        /// The endpoint.
         endpoint: EndpointKey,
         /// The side's address.
         address: String,
@@ -194,29 +195,29 @@
         model: String,
         /// The organisation's name.
         org: String,
-        /// How urgent it is.
+        /// The request's priority class.
         class: Class,
         /// Milliseconds until the deadline.
         slack_ms: u64,
-        /// Whether the answer is to be kept for a repeat.
+        /// Whether the answer is to be stored for replay.
         claimed: bool,
     },
-    /// Cancel a sending, and tell what the side says.
+    /// Cancel an attempt and report the side's reply.
     Cancel {
-        /// Which.
+        /// The request.
         id: RequestId,
-        /// The sending.
+        /// The attempt's number.
         call: u64,
-        /// Where.
+        /// The endpoint.
         endpoint: EndpointKey,
     },
-    /// Refuse a request; its final answer.
+    /// Refuse a request. This is its final answer.
     Refuse(RequestId, Refusal),
-    /// Give a request the first answer under its idempotency key; its final answer.
+    /// Answer a request with the first answer under its idempotency key. This is its final answer.
     Replay(RequestId, Answer),
-    /// Answer a question for models.
+    /// Answer a request for the list of models.
     Models(RequestId, Result<Vec<String>, Refusal>),
-    /// Ask for rows of the feed, or hand them on.
+    /// Request rows of the feed, or forward them.
     Feed(FeedEffect),
     /// Commit a transaction.
     Commit(u64, Txn),
@@ -224,83 +225,83 @@
     Read(Vec<String>),
     /// Read a claim.
     ReadClaim(RequestId, String),
-    /// Fetch a whole text.
+    /// Fetch the whole configuration that the head names.
     FetchText(HeadRow),
-    /// Tell a model's home of requests.
+    /// Report demand for a model to its coordinator.
     Demand {
-        /// The home's address.
+        /// The coordinator's address.
         to: String,
-        /// What is asked for.
+        /// The demand.
         demand: Demand,
     },
-    /// Tell an entry that its demand was heard.
+    /// Acknowledge an entry's demand.
     Heard {
         /// The entry's address.
         to: String,
         /// The model's name.
         model: String,
     },
-    /// Tell an entry that its demand cannot be met.
+    /// Report to an entry that its demand cannot be met.
     Verdict {
         /// The entry's address.
         to: String,
         /// The model's name.
         model: String,
-        /// Why.
+        /// The reason.
         kind: RefusalKind,
     },
-    /// Tell a side that its row has changed, and where its answer is awaited.
+    /// Notify a side that its row has changed, and which entry awaits its reply.
     Poke {
-        /// Where.
+        /// The endpoint.
         endpoint: EndpointKey,
         /// The side's address.
         address: String,
         /// This entry's address.
         from: String,
     },
-    /// Hand a row on to an entry that waits for it, ahead of the feed.
+    /// Send a row to an entry that waits for it, ahead of the feed.
     Announce {
         /// The entry's address.
         to: String,
         /// The row.
         row: Row,
     },
-    /// A new text is in force.
+    /// A configuration with this version is active.
     Configured(u64),
     /// Write a line to the log.
     Log(LogEvent),
-    /// All is finished: stop the process.
+    /// The drain is complete: stop the process.
     Drained,
 }
 
-/// What an entry knows of itself from its settings.
+/// An entry's own settings.
 #[derive(Debug, Clone)]
 pub struct EntryProfile {
     /// The instance's name.
     pub instance: String,
-    /// Where peers reach the process.
+    /// The address at which peers reach the process.
     pub address: String,
     /// The availability zone.
     pub zone: String,
-    /// Drawn at the start of the process.
+    /// Random number drawn at the start of the process.
     pub session: u64,
-    /// Requests kept at once.
+    /// Maximum number of open requests.
     pub request_limit: usize,
-    /// Parts that an organisation's share is divided into.
+    /// Number of parts into which an organisation's share is divided.
     pub share_parts: u32,
-    /// Seed of the random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// The rules that vary.
+/// The replaceable policies of an entry.
 pub struct Policies {
-    /// Where a model is loaded.
+    /// Chooses the endpoint on which a model is loaded.
     pub placement: Box<dyn Placement>,
-    /// Which replica gets a request.
+    /// Chooses the replica that serves a request.
     pub router: Box<dyn Router>,
-    /// How long a replica is kept.
+    /// Decides how long an idle replica is kept.
     pub keep: Box<dyn KeepAlive>,
-    /// Whether demand goes to a model's home, or every entry decides for itself.
+    /// Whether demand is reported to a model's coordinator; otherwise every entry decides itself.
     pub homes: bool,
 }
 
--- a/crates/decide/tests/entry.rs
+++ b/crates/decide/tests/entry.rs
@@ -1,6 +1,6 @@
-//! Guards of the entry's reducer, each with the failure it meets.
+//! Regression tests of the entry's reducer. Each names the failure that it guards against.
 
-#![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
+#![allow(clippy::unwrap_used, reason = "a test that cannot continue must fail")]
 
 use citronrill_base::{Millis, Row};
 use citronrill_config::{digest, hash_api_key};
@@ -13,7 +13,7 @@
 
 const ID: RequestId = RequestId(1);
 
-fn text(model: &str) -> String {
+fn config(model: &str) -> String {
     format!(
         "[pool]\nloads_second = 7\nloads_once = 4\n[organisation o]\nshare_mb = 900\n\
          key.1 = sha256:{}\n[service s]\norganisation = o\ndeadline_ms = 5000\n\
@@ -22,13 +22,13 @@
     )
 }
 
-fn head(version: u64, text: &str, at: u64) -> Row {
-    let head = HeadRow { version, digest: digest(text), object: String::new() };
-    Row { key: HEAD.to_owned(), version: at, body: Some(head.encode_to_vec()) }
+fn head(version: u64, config: &str, row_version: u64) -> Row {
+    let head = HeadRow { version, digest: digest(config), object: String::new() };
+    Row { key: HEAD.to_owned(), version: row_version, body: Some(head.encode_to_vec()) }
 }
 
-/// An endpoint that serves model `m`.
-fn serving(name: &str, at: u64) -> Row {
+/// An endpoint with a ready replica of model `m`.
+fn serving(name: &str, row_version: u64) -> Row {
     let replica = Replica {
         model: "m".to_owned(),
         org: "o".to_owned(),
@@ -46,17 +46,17 @@
         replicas: vec![replica],
         ..EndpointRow::default()
     };
-    Row { key: endpoint_key(name), version: at, body: Some(row.encode_to_vec()) }
+    Row { key: endpoint_key(name), version: row_version, body: Some(row.encode_to_vec()) }
 }
 
-struct Bench {
+struct Harness {
     entry: Entry,
     now: u64,
 }
 
-impl Bench {
-    /// An entry that knows the text and two endpoints that serve its model.
-    fn new() -> Bench {
+impl Harness {
+    /// Creates an entry with an active configuration and two endpoints that serve its model.
+    fn new() -> Harness {
         let profile = EntryProfile {
             instance: "e".to_owned(),
             address: "e".to_owned(),
@@ -67,13 +67,13 @@
             seed: 1,
         };
         let entry = Entry::new(profile, Policies::default(), Millis(1_000));
-        let mut bench = Bench { entry, now: 1_000 };
-        let text = text("m");
-        let rows = vec![head(1, &text, 3), serving("a", 4), serving("b", 5)];
-        bench.step(Event::Rows(rows));
-        bench.step(Event::Text { version: 1, text });
-        assert_eq!(bench.entry.version(), 1);
-        bench
+        let mut harness = Harness { entry, now: 1_000 };
+        let config = config("m");
+        let rows = vec![head(1, &config, 3), serving("a", 4), serving("b", 5)];
+        harness.step(Event::Rows(rows));
+        harness.step(Event::Text { version: 1, text: config });
+        assert_eq!(harness.entry.version(), 1);
+        harness
     }
 
     fn step(&mut self, event: Event) -> Vec<Effect> {
@@ -83,7 +83,7 @@
         out
     }
 
-    fn ask(&mut self) -> Vec<Effect> {
+    fn send_request(&mut self) -> Vec<Effect> {
         self.step(arrival(ID))
     }
 }
@@ -95,7 +95,7 @@
     })
 }
 
-/// A request for model `m` by this name.
+/// A request for model `m` with this id.
 fn arrival(id: RequestId) -> Event {
     Event::Arrive(Arrival {
         id,
@@ -112,32 +112,32 @@
     Event::Declined { id: ID, call, why: Decline::Leaving, load: 0 }
 }
 
-/// A call that may run once runs twice.
+/// Guards against a second run of a call that may run at most once.
 ///
-/// A side declines a sending, and the entry sends the call elsewhere, where it runs. A copy of the
-/// first decline comes late; taken for an answer to the second sending, it would cause a third.
+/// A side declines the first attempt, and the call is sent to another endpoint, where it runs. A
+/// duplicate of the decline arrives late; applied to the second attempt, it would cause a third.
 #[test]
-fn a_late_decline_of_an_earlier_sending_changes_nothing() {
-    let mut bench = Bench::new();
-    let first = sent(&bench.ask()).unwrap();
-    let second = sent(&bench.step(declined(first))).unwrap();
+fn late_decline_of_an_earlier_attempt_is_ignored() {
+    let mut harness = Harness::new();
+    let first = sent(&harness.send_request()).unwrap();
+    let second = sent(&harness.step(declined(first))).unwrap();
     assert_ne!(first, second);
-    assert_eq!(sent(&bench.step(declined(first))), None);
-    assert_eq!(bench.entry.current_call(ID), Some(second));
+    assert_eq!(sent(&harness.step(declined(first))), None);
+    assert_eq!(harness.entry.current_call(ID), Some(second));
 }
 
-/// A caller is told "not run" of a call that has run.
+/// Guards against a refusal as "not run" of a call that may have run.
 ///
-/// The first sending is lost after it may have run, the call may be repeated and is sent again, and
-/// the second side declines. What the second one promises says nothing of the first.
+/// The connection of the first attempt is lost after the call may have run. The call is repeatable
+/// and is retried, and the second side declines, which does not cover the first attempt.
 #[test]
-fn after_a_lost_sending_no_refusal_says_not_run() {
-    let mut bench = Bench::new();
-    let first = sent(&bench.ask()).unwrap();
-    let second = sent(&bench.step(Event::Lost(ID, first))).unwrap();
-    bench.step(declined(second));
-    bench.now += 6_000;
-    let effects = bench.step(Event::Tick { minute: 0 });
+fn refusal_after_a_lost_attempt_does_not_claim_not_run() {
+    let mut harness = Harness::new();
+    let first = sent(&harness.send_request()).unwrap();
+    let second = sent(&harness.step(Event::Lost(ID, first))).unwrap();
+    harness.step(declined(second));
+    harness.now += 6_000;
+    let effects = harness.step(Event::Tick { minute: 0 });
     let refusal = effects.iter().find_map(|effect| match effect {
         Effect::Refuse(_, refusal) => Some(*refusal),
         _ => None,
@@ -146,48 +146,48 @@
     assert_eq!((refusal.kind, refusal.ran), (RefusalKind::Expired, Ran::Unknown));
 }
 
-/// An operator's change is undone by an answer that was late.
+/// Guards against a late reply that reverts a configuration change.
 ///
-/// Version 2 is in force. A read from before it answers now, and a peer that lags sends the text of
-/// version 1: neither the head nor the text goes back.
+/// Version 2 is active. An older read is answered late, and a lagging peer sends version 1: neither
+/// the head nor the configuration reverts.
 #[test]
-fn a_late_answer_does_not_bring_an_older_text_back() {
-    let mut bench = Bench::new();
-    let (old, new) = (text("m"), text("n"));
-    bench.step(Event::Rows(vec![head(2, &new, 9)]));
-    bench.step(Event::Text { version: 2, text: new });
-    assert_eq!(bench.entry.version(), 2);
-    bench.step(Event::Rows(vec![head(1, &old, 3)]));
-    bench.step(Event::Text { version: 1, text: old });
-    assert_eq!(bench.entry.version(), 2);
-    assert_eq!(bench.entry.view().head.row.as_ref().unwrap().version, 2);
+fn late_reply_does_not_revert_the_configuration() {
+    let mut harness = Harness::new();
+    let (old, new) = (config("m"), config("n"));
+    harness.step(Event::Rows(vec![head(2, &new, 9)]));
+    harness.step(Event::Text { version: 2, text: new });
+    assert_eq!(harness.entry.version(), 2);
+    harness.step(Event::Rows(vec![head(1, &old, 3)]));
+    harness.step(Event::Text { version: 1, text: old });
+    assert_eq!(harness.entry.version(), 2);
+    assert_eq!(harness.entry.view().head.row.as_ref().unwrap().version, 2);
 }
 
-/// A text that does not fit the head's digest was not the one accepted, whoever sends it.
+/// Guards against activation of a configuration that does not match the head's digest.
 #[test]
-fn a_text_that_nobody_accepted_is_not_taken() {
-    let mut bench = Bench::new();
-    bench.step(Event::Rows(vec![head(2, &text("n"), 9)]));
-    bench.step(Event::Text { version: 2, text: text("forged") });
-    assert_eq!(bench.entry.version(), 1);
+fn configuration_with_a_wrong_digest_is_ignored() {
+    let mut harness = Harness::new();
+    harness.step(Event::Rows(vec![head(2, &config("n"), 9)]));
+    harness.step(Event::Text { version: 2, text: config("forged") });
+    assert_eq!(harness.entry.version(), 1);
 }
 
-/// Callers wait for 13 s though the model is there.
+/// Guards against a backoff of 13 s from an endpoint that is available.
 ///
-/// The side beside the only endpoint with the model ends while six calls are on their way to it, and
-/// another process takes the endpoint over at once. All six are lost at the same moment. They count
-/// as one silence of the old process, and the requests go to the new one.
+/// The side of the only endpoint with the model ends with several calls in flight, and a new side
+/// process takes the endpoint over at once. All the calls are lost together. They must not count
+/// against the new process, and the requests are retried there at once.
 #[test]
-fn lost_calls_of_an_ended_side_do_not_bar_its_successor() {
-    let mut bench = Bench::new();
-    bench.step(Event::Rows(vec![Row { key: endpoint_key("b"), version: 6, body: None }]));
-    let calls = (1..=4).map(|id| (RequestId(id), sent(&bench.step(arrival(RequestId(id))))));
+fn lost_calls_of_an_ended_side_do_not_suspend_its_successor() {
+    let mut harness = Harness::new();
+    harness.step(Event::Rows(vec![Row { key: endpoint_key("b"), version: 6, body: None }]));
+    let calls = (1..=4).map(|id| (RequestId(id), sent(&harness.step(arrival(RequestId(id))))));
     let calls = calls.collect::<Vec<_>>();
     let mut row = EndpointRow::decode(&*serving("a", 7).body.unwrap()).unwrap();
     (row.epoch, row.address) = (2, "a2".to_owned());
     let body = Some(row.encode_to_vec());
-    bench.step(Event::Rows(vec![Row { key: endpoint_key("a"), version: 7, body }]));
-    let again = calls.into_iter().map(|(id, call)| bench.step(Event::Lost(id, call.unwrap())));
-    let again = again.filter(|effects| sent(effects).is_some()).count();
-    assert_eq!(again, 4, "each goes to the new process at once");
+    harness.step(Event::Rows(vec![Row { key: endpoint_key("a"), version: 7, body }]));
+    let retried = calls.into_iter().map(|(id, call)| harness.step(Event::Lost(id, call.unwrap())));
+    let retried = retried.filter(|effects| sent(effects).is_some()).count();
+    assert_eq!(retried, 4, "every request must be retried at the new side process at once");
 }
