--- a/crates/decide/src/call.rs
+++ b/crates/decide/src/call.rs
@@ -1,54 +1,55 @@
-//! Calls as entries and sides speak of them.
+//! Data types of calls that entries and sides exchange.
 
 use citronrill_config::Class;
 
-/// Names one sending of a call, for ever: the entry's session and a number that it never reuses.
+/// Globally unique id of an attempt at a call: the entry's session and a number that the entry
+/// never reuses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId {
-    /// Drawn at the start of the entry process.
+    /// Random number drawn when the entry process starts.
     pub session: u64,
-    /// Counts the entry's sendings.
+    /// Counter of the entry's attempts.
     pub number: u64,
 }
 
 /// A call offered to a side.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offer {
-    /// Its name.
+    /// The attempt's id.
     pub id: CallId,
     /// The model's name; empty for a plain service.
     pub model: String,
     /// The caller's organisation.
     pub org: String,
-    /// How urgent it is.
+    /// Priority class.
     pub class: Class,
-    /// The side process that the entry means; another one declines.
+    /// Session of the side process that the call is meant for; any other one declines it.
     pub session: u64,
-    /// Milliseconds on that side process's clock after which the call must not start.
+    /// Time on that side process's clock, in milliseconds, after which the call must not start.
     pub expires: u64,
 }
 
-/// Why a call was not run. Each of these is a promise that it never will be.
+/// Reason why a call was declined. A declined call has not run and never will.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Decline {
-    /// All slots are taken, or the organisation has its part of them.
+    /// All slots open to the call's class and organisation are taken, or the call records are full.
     Busy,
-    /// The endpoint takes nothing new.
+    /// The endpoint accepts no new calls.
     Leaving,
-    /// The model does not serve here.
+    /// The model is not ready on this endpoint.
     NotLoaded,
-    /// It came after its time.
+    /// The call arrived after its expiry.
     Expired,
-    /// It was meant for an earlier side process.
+    /// The call was meant for another side process.
     OtherSession,
-    /// It was cancelled before it came.
+    /// The call was cancelled before it arrived.
     Cancelled,
-    /// The endpoint behind the side takes no connection.
+    /// The endpoint behind the side accepts no connection.
     EndpointDown,
 }
 
 impl Decline {
-    /// The word in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Decline::Busy => "busy",
@@ -73,24 +74,24 @@
         Decline::EndpointDown,
     ];
 
-    /// The number between processes.
+    /// Returns the code used in messages between processes.
     pub fn number(self) -> u32 {
         Self::ALL.iter().position(|it| *it == self).unwrap_or(0) as u32
     }
 
-    /// The reason behind a number; `None` for one of a later release.
+    /// Returns the reason for a code; `None` for a code of a later release.
     pub fn from_number(number: u32) -> Option<Decline> {
         Self::ALL.get(number as usize).copied()
     }
 }
 
-/// What a side says of a call that is to be cancelled.
+/// A side's answer to a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelAnswer {
-    /// It did not run and will not.
+    /// The call did not run and will not.
     NotRun,
-    /// It has begun; it is being stopped.
+    /// The call has begun; it is being aborted.
     Ran,
-    /// The side cannot promise either.
+    /// The side cannot tell whether the call ran or will run.
     Unknown,
 }
--- a/crates/decide/src/feed.rs
+++ b/crates/decide/src/feed.rs
@@ -1,39 +1,39 @@
-//! How the table's changes reach every entry without every entry polling the table.
+//! Distribution of the table's changes to all entries without each entry polling the table.
 //!
-//! In each availability zone the entries form a tree by the rendezvous order of their names. The
-//! first two poll the table; every other pulls from its parent, which holds the pull until there is
-//! something new. The tree is computed by each process from the member list; where two lists
-//! differ, the age of the data shows a loop, and the process goes further up, in the end to the
-//! table itself.
+//! In each availability zone the entries form a tree in the rendezvous order of their names. The
+//! first two poll the table; every other entry pulls from its parent, which holds the pull until it
+//! has new rows (long polling). Each process computes the tree from its member list. If the lists
+//! of two processes differ, the tree may have a loop; stale data reveals it, and the process moves
+//! on to an ancestor and finally to the table itself.
 
 use std::collections::BTreeMap;
 
 use citronrill_base::{Map, Millis, Row, rendezvous_order};
 
-/// Entries of a zone that poll the table.
+/// Number of entries in a zone that poll the table.
 const READERS: usize = 2;
-/// Children of one entry.
+/// Maximum number of children of an entry.
 ///
-/// Each entry passes on what it takes this many times; docs/CAPACITY.md has the bytes.
+/// Each entry sends what it receives this many times; docs/CAPACITY.md lists the traffic in bytes.
 const FANOUT: usize = 2;
-/// Peers that are asked when the table does not answer.
-const LAST_RESORTS: usize = 3;
-/// How often a reader polls, in milliseconds.
+/// Number of peers that are asked when the table does not answer.
+const FALLBACK_PEERS: usize = 3;
+/// Polling interval of an entry that reads the table, in milliseconds.
 pub const POLL_MS: u64 = 500;
-/// How often an entry that found no peer polls, in milliseconds.
-const FALLBACK_MS: u64 = 2_000;
-/// How long a pull is held when there is nothing new, in milliseconds.
+/// Polling interval of an entry that falls back to the table, in milliseconds.
+const FALLBACK_POLL_MS: u64 = 2_000;
+/// Maximum time that a pull is held when there are no new rows, in milliseconds.
 pub const HOLD_MS: u64 = 2_000;
-/// A source that has not answered for this long has failed, in milliseconds.
-const PATIENCE_MS: u64 = HOLD_MS + 1_500;
-/// Data that the table has not confirmed for this long is stale, in milliseconds.
+/// Timeout of a request to a source, in milliseconds.
+const SOURCE_TIMEOUT_MS: u64 = HOLD_MS + 1_500;
+/// Age since the table's last confirmation at which data is stale, in milliseconds.
 pub const STALE_MS: u64 = 6_000;
-/// How long a process goes by a detour before it tries its parent again, in milliseconds.
-const DETOUR_MS: u64 = 15_000;
-/// Rows in one answer.
+/// Time that a process uses a fallback source before it tries its parent again, in milliseconds.
+const PARENT_RETRY_MS: u64 = 15_000;
+/// Number of rows at which a page is full.
 pub const PAGE: usize = 1_000;
 
-/// Where rows come from.
+/// Source of rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
     /// The platform's table.
@@ -42,51 +42,51 @@
     Peer(String),
 }
 
-/// An entry as the feed knows it.
+/// Name, address and zone of an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// The instance's name.
     pub name: String,
-    /// Where peers reach it.
+    /// Address at which peers reach it.
     pub address: String,
     /// The availability zone.
     pub zone: String,
 }
 
-/// Rows and how fresh they are.
+/// Rows and their age.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Page {
     /// Rows in the order of their versions.
     pub rows: Vec<Row>,
     /// The sequence up to which the rows are complete.
     pub sequence: u64,
-    /// Milliseconds since the table confirmed it.
+    /// Milliseconds since the table confirmed this state.
     pub age_ms: u64,
 }
 
-/// What the feed wants done.
+/// Action requested by the feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedEffect {
-    /// Ask a source for rows after `since`.
+    /// Request rows after `since` from a source.
     Ask {
-        /// Names the question.
+        /// Id of the request.
         id: u64,
-        /// Whom to ask.
+        /// The source.
         source: Source,
-        /// The sequence that is known.
+        /// The sequence up to which all rows are known.
         since: u64,
     },
     /// Answer a child's pull.
     Answer {
-        /// The child's pull.
+        /// Id of the child's pull.
         pull: u64,
-        /// The answer.
+        /// The rows.
         page: Page,
     },
 }
 
 #[derive(Debug)]
-struct Asked {
+struct PendingRequest {
     id: u64,
     source: Source,
     at: Millis,
@@ -98,75 +98,75 @@
     at: Millis,
 }
 
-/// The feed of one entry.
+/// Feed of one entry: the rows that it has received, and the source that it pulls from.
 #[derive(Debug)]
 pub struct Feed {
     name: String,
     zone: String,
-    log: BTreeMap<u64, Vec<Row>>,
+    changes: BTreeMap<u64, Vec<Row>>,
     versions: Map<String, u64>,
     sequence: u64,
     confirmed: Option<Millis>,
-    asked: Option<Asked>,
+    pending: Option<PendingRequest>,
     next_id: u64,
     next_at: Millis,
-    detour: usize,
-    detour_since: Millis,
+    fallback: usize,
+    fallback_since: Millis,
     pulls: Map<u64, Pull>,
 }
 
 impl Feed {
-    /// The feed of a process that has just started.
+    /// Creates the feed of a process that has just started.
     pub fn new(name: &str, zone: &str, now: Millis) -> Feed {
         Feed {
             name: name.to_owned(),
             zone: zone.to_owned(),
-            log: BTreeMap::new(),
+            changes: BTreeMap::new(),
             versions: Map::default(),
             sequence: 0,
             confirmed: None,
-            asked: None,
+            pending: None,
             next_id: 0,
             next_at: now,
-            detour: 0,
-            detour_since: now,
+            fallback: 0,
+            fallback_since: now,
             pulls: Map::default(),
         }
     }
 
-    /// Asks the next source when it is time, and answers pulls that were held long enough.
+    /// Sends the next request if it is due, and answers pulls that were held long enough.
     pub fn tick(&mut self, now: Millis, peers: &[Peer], jitter: u64, out: &mut Vec<FeedEffect>) {
         self.answer_pulls(now, out);
-        if self.asked.as_ref().is_some_and(|asked| now.since(asked.at) >= PATIENCE_MS) {
-            self.failed(now);
+        if self.pending.as_ref().is_some_and(|pending| now.since(pending.at) >= SOURCE_TIMEOUT_MS) {
+            self.request_failed(now);
         }
-        if self.detour > 0 && now.since(self.detour_since) >= DETOUR_MS {
-            self.detour = 0;
+        if self.fallback > 0 && now.since(self.fallback_since) >= PARENT_RETRY_MS {
+            self.fallback = 0;
         }
-        if self.asked.is_some() || now < self.next_at {
+        if self.pending.is_some() || now < self.next_at {
             return;
         }
-        let chain = self.chain(peers);
-        if self.detour >= chain.len() {
-            // Round again, from the table on: it may be back.
-            self.detour = chain.iter().position(|it| *it == Source::Table).unwrap_or(0);
+        let sources = self.sources(peers);
+        if self.fallback >= sources.len() {
+            // All sources failed: start over at the table, which may be available again.
+            self.fallback = sources.iter().position(|it| *it == Source::Table).unwrap_or(0);
         }
-        let position = self.detour;
-        let source = chain[position].clone();
+        let position = self.fallback;
+        let source = sources[position].clone();
         let pause = match (&source, position) {
             (Source::Table, 0) => POLL_MS,
-            (Source::Table, _) => FALLBACK_MS,
+            (Source::Table, _) => FALLBACK_POLL_MS,
             (Source::Peer(_), _) => 0,
         };
         self.next_at = now + pause + jitter % (pause / 2 + 1);
         self.next_id += 1;
         let (id, since) = (self.next_id, self.sequence);
-        self.asked = Some(Asked { id, source: source.clone(), at: now });
+        self.pending = Some(PendingRequest { id, source: source.clone(), at: now });
         out.push(FeedEffect::Ask { id, source, since });
     }
 
-    /// Whom to ask, in order: parent, its parent, and so on, then the table, then any peer.
-    fn chain(&self, peers: &[Peer]) -> Vec<Source> {
+    /// Returns the sources in order of preference: the parent, its ancestors, the table, any peer.
+    fn sources(&self, peers: &[Peer]) -> Vec<Source> {
         let zone = peers.iter().filter(|peer| peer.zone == self.zone);
         let zone = zone.collect::<Vec<_>>();
         let names = zone.iter().map(|peer| peer.name.as_str());
@@ -174,67 +174,69 @@
         let mut order = order;
         order.dedup();
         let mut position = order.iter().position(|name| *name == self.name).unwrap_or(0);
-        let mut chain = Vec::new();
+        let mut sources = Vec::new();
         while position >= READERS {
             position = (position - READERS) / FANOUT;
             let parent = zone.iter().find(|peer| peer.name == order[position]);
-            chain.extend(parent.map(|peer| Source::Peer(peer.address.clone())));
+            sources.extend(parent.map(|peer| Source::Peer(peer.address.clone())));
         }
-        chain.push(Source::Table);
-        chain.extend(self.last_resorts(peers));
-        chain
+        sources.push(Source::Table);
+        sources.extend(self.fallback_peers(peers));
+        sources
     }
 
-    /// Peers of any zone, asked when even the table does not answer: a process that has just started
-    /// in an outage knows nothing else.
-    fn last_resorts(&self, peers: &[Peer]) -> Vec<Source> {
+    /// Returns peers of any zone, for when the table does not answer either: a process that starts
+    /// during an outage has no other source.
+    fn fallback_peers(&self, peers: &[Peer]) -> Vec<Source> {
         let names = peers.iter().map(|peer| peer.name.as_str());
         let names = names.filter(|name| *name != self.name);
-        let order = rendezvous_order(&self.name, names).into_iter().take(LAST_RESORTS);
+        let order = rendezvous_order(&self.name, names).into_iter().take(FALLBACK_PEERS);
         let address = |name: &str| peers.iter().find(|peer| peer.name == name);
         order.filter_map(address).map(|peer| Source::Peer(peer.address.clone())).collect()
     }
 
-    fn failed(&mut self, now: Millis) {
-        self.asked = None;
-        self.go_on(now);
+    fn request_failed(&mut self, now: Millis) {
+        self.pending = None;
+        self.try_next_source(now);
     }
 
-    /// Turns to the next source; the way back to the parent begins with the first such turn.
-    fn go_on(&mut self, now: Millis) {
-        if self.detour == 0 {
-            self.detour_since = now;
+    /// Moves on to the next source; the time until the parent is retried begins with the first
+    /// move.
+    fn try_next_source(&mut self, now: Millis) {
+        if self.fallback == 0 {
+            self.fallback_since = now;
         }
-        self.detour += 1;
+        self.fallback += 1;
     }
 
-    /// Takes in a source's answer; gives the rows that are new. `None` means that it failed.
+    /// Applies a source's answer, `None` if the request failed, and returns the rows that are new.
     pub fn answered(&mut self, now: Millis, id: u64, page: Option<Page>) -> Vec<Row> {
-        let Some(asked) = self.asked.take_if(|asked| asked.id == id) else { return Vec::new() };
+        let Some(pending) = self.pending.take_if(|it| it.id == id) else { return Vec::new() };
         let Some(page) = page else {
-            self.failed(now);
+            self.request_failed(now);
             return Vec::new();
         };
-        let at = asked.at - page.age_ms;
+        let at = pending.at - page.age_ms;
         let stale = now.since(at) >= STALE_MS;
-        if stale && asked.source != Source::Table {
-            self.go_on(now);
+        if stale && pending.source != Source::Table {
+            self.try_next_source(now);
         }
         self.confirmed = self.confirmed.max(Some(at));
         if page.rows.len() >= PAGE {
             self.next_at = now;
         }
-        self.take(page.rows, page.sequence)
+        self.insert_rows(page.rows, page.sequence)
     }
 
-    /// Takes in rows that came another way, as by an own commit; they do not move the sequence.
+    /// Adds rows received outside the feed, such as this process's commits, without advancing the
+    /// sequence.
     pub fn learned(&mut self, rows: &[Row]) {
         let sequence = self.sequence;
         let rows = rows.iter().filter(|row| row.key.starts_with(crate::rows::FEED));
-        self.take(rows.cloned().collect(), sequence);
+        self.insert_rows(rows.cloned().collect(), sequence);
     }
 
-    fn take(&mut self, rows: Vec<Row>, sequence: u64) -> Vec<Row> {
+    fn insert_rows(&mut self, rows: Vec<Row>, sequence: u64) -> Vec<Row> {
         let mut new = Vec::new();
         for row in rows {
             let known = self.versions.entry(row.key.clone()).or_default();
@@ -242,26 +244,26 @@
                 continue;
             }
             let old = std::mem::replace(known, row.version);
-            if let Some(rows) = self.log.get_mut(&old) {
+            if let Some(rows) = self.changes.get_mut(&old) {
                 rows.retain(|other| other.key != row.key);
                 if rows.is_empty() {
-                    self.log.remove(&old);
+                    self.changes.remove(&old);
                 }
             }
-            self.log.entry(row.version).or_default().push(row.clone());
+            self.changes.entry(row.version).or_default().push(row.clone());
             new.push(row);
         }
         self.sequence = self.sequence.max(sequence);
         new
     }
 
-    /// A child asks for rows after `since`.
+    /// Registers a child's pull for rows after `since`, and answers the pulls that are due.
     pub fn pull(&mut self, now: Millis, pull: u64, since: u64, out: &mut Vec<FeedEffect>) {
         self.pulls.insert(pull, Pull { since, at: now });
         self.answer_pulls(now, out);
     }
 
-    /// Answers the pulls that have something new or were held long enough.
+    /// Answers the pulls for which there are new rows or that were held long enough.
     pub fn answer_pulls(&mut self, now: Millis, out: &mut Vec<FeedEffect>) {
         let sequence = self.sequence;
         let due = |pull: &Pull| pull.since < sequence || now.since(pull.at) >= HOLD_MS;
@@ -272,13 +274,14 @@
         }
     }
 
-    /// Rows after `since`, up to a page.
+    /// Returns the rows after `since`, up to a full page.
     ///
-    /// Rows beyond the own sequence go along, and do not count as complete: they were learned ahead
-    /// of rows that are still missing. In an outage they are all that tells of the last decisions.
+    /// Rows beyond this process's sequence are included but not counted as complete, since earlier
+    /// rows may still be missing. During an outage they are the only source of the latest
+    /// decisions.
     fn page(&self, now: Millis, since: u64) -> Page {
         let mut page = Page { rows: Vec::new(), sequence: self.sequence, age_ms: self.age(now) };
-        for (version, rows) in self.log.range(since + 1..) {
+        for (version, rows) in self.changes.range(since + 1..) {
             page.rows.extend(rows.iter().cloned());
             if page.rows.len() >= PAGE {
                 page.sequence = self.sequence.min(*version);
@@ -289,18 +292,18 @@
         page
     }
 
-    /// Milliseconds since the table confirmed what is known.
+    /// Returns the milliseconds since the table confirmed the known state.
     pub fn age(&self, now: Millis) -> u64 {
         self.confirmed.map_or(u64::MAX / 4, |at| now.since(at))
     }
 
-    /// The sequence up to which all rows are known.
+    /// Returns the sequence up to which all rows are known.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Whether this process polls the table itself, for dumps.
+    /// Returns the source of the pending request, for dumps.
     pub fn source(&self) -> Option<&Source> {
-        self.asked.as_ref().map(|asked| &asked.source)
+        self.pending.as_ref().map(|pending| &pending.source)
     }
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions, as pure reducers.
+//! The decision logic, as pure reducers.
 //!
-//! [`Entry`] and [`Side`] take events and give effects. They read no clock, hold no thread and draw
-//! no random number of their own: time and seeds come in with the events, so that a test bench can
-//! drive any number of them on its own clock.
+//! [`Entry`] and [`Side`] turn events into effects. They read no clock, start no thread and draw no
+//! randomness of their own: time and seeds are passed in, so that a test can drive any number of
+//! them on a simulated clock.
 
 mod call;
 mod entry;
@@ -29,8 +29,8 @@
     },
     log::LogEvent,
     placement::{
-        Ask, CheapestPlace, EmptiestPlace, NoPlace, Place, Placement, Plan, Scene, base_ready,
-        fits_now, load_ms, load_txn, plan, share_part, urgency,
+        Ask, CheapestPlace, EmptiestPlace, NoPlace, Placement, PlacementOption, Plan, Scene,
+        base_ready, fits_now, load_ms, load_txn, plan, share_part, urgency,
     },
     refusal::{Ran, Refusal, RefusalKind},
     routing::{AnyReplica, Candidate, Router, TwoChoices},
@@ -38,5 +38,5 @@
         Admission, Calls, EngineReport, HeldModel, ORDER_TRANSIT_MS, ORDER_TTL_MS, RECORD_LIMIT,
         Side, SideEffect, SideEvent, SideProfile, VERIFY_MS,
     },
-    view::{Change, Held, View},
+    view::{Change, Versioned, View},
 };
--- a/crates/decide/src/log.rs
+++ b/crates/decide/src/log.rs
@@ -1,18 +1,18 @@
-//! Log events as data; the runtime writes each as one line of key=value pairs.
+//! Log events as data; the runtime writes each one as a line of key=value pairs.
 
 use std::fmt;
 
-/// One event worth a line in the log.
+/// An event to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogEvent {
-    /// What happened, in a fixed word.
+    /// The event's fixed name.
     pub event: &'static str,
-    /// Further keys and values.
+    /// Keys and values of the event.
     pub fields: Vec<(&'static str, String)>,
 }
 
 impl LogEvent {
-    /// An event without fields.
+    /// Creates an event without fields.
     pub fn new(event: &'static str) -> LogEvent {
         LogEvent { event, fields: Vec::new() }
     }
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -1,4 +1,4 @@
-//! On which endpoint a model is loaded, and the transaction that decides it.
+//! Selection of the endpoint that loads a model, and the transaction that commits the decision.
 
 use citronrill_base::{EndpointKey, ModelKey, OrgKey, Set, Txn, hash_bytes};
 use citronrill_config::{Catalogue, Class, Model};
@@ -9,122 +9,122 @@
         EndpointRow, Permit, Phase, Replica, ShareRow, Tier, WEIGHTS, WeightsRow, endpoint_key,
         model_key, share_key,
     },
-    view::{Held, View},
+    view::{Versioned, View},
 };
 
-/// Cost of taking a place from which something must be unloaded first, in milliseconds.
-const EVICT_MS: u64 = 1_500;
-/// Cost of a second copy in a zone that has one, in milliseconds.
-const SAME_ZONE_MS: u64 = 2_000;
-/// An endpoint with room for more than this many further copies is as good as any other.
-const FIT_STEPS: u64 = 2;
-/// Each service that depends on a model counts as this many milliseconds of earlier deadline.
-const DEPENDANT_MS: u64 = 500;
-/// Urgency step between classes, in milliseconds.
-const CLASS_MS: u64 = 60_000;
-
-/// What is asked for.
+/// Fixed cost of an endpoint on which a model must be evicted first, in milliseconds.
+const EVICTION_COST_MS: u64 = 1_500;
+/// Cost of a further replica in a zone that has one, in milliseconds.
+const SAME_ZONE_COST_MS: u64 = 2_000;
+/// Room for more than this many further replicas makes no difference between endpoints.
+const MAX_FIT_STEPS: u64 = 2;
+/// Each service that depends on a model counts as a deadline earlier by this many milliseconds.
+const DEPENDANT_BONUS_MS: u64 = 500;
+/// Difference in urgency between adjacent classes, in milliseconds.
+const CLASS_STEP_MS: u64 = 60_000;
+
+/// Request for replicas of a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ask {
     /// The model.
     pub model: ModelKey,
-    /// Copies there should be.
+    /// Target number of replicas.
     pub copies: u64,
     /// Milliseconds until the first waiting request's deadline.
     pub slack_ms: u64,
-    /// The most urgent class that waits.
+    /// The most urgent class among the waiting requests.
     pub class: Class,
 }
 
-/// Why nothing can be placed.
+/// Reason why no placement is made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoPlace {
-    /// The copies asked for are decided already.
+    /// The requested number of replicas is already decided.
     Enough,
-    /// The text does not have the model.
+    /// The configuration does not have the model.
     Unknown,
     /// The organisation's share is used up.
     ShareUsed,
-    /// No endpoint has room, now or after unloading.
+    /// No endpoint has room, even after evictions.
     Full,
-    /// An endpoint with room is part of a decision under way.
+    /// The only endpoints with room are part of a pending decision.
     Busy,
 }
 
-/// What a placement may look at.
+/// Input of a placement decision.
 pub struct Scene<'a> {
-    /// The table as this process knows it.
+    /// This process's view of the platform table.
     pub view: &'a View,
-    /// The text in force.
+    /// The current configuration.
     pub catalogue: &'a Catalogue,
-    /// Endpoints that a decision under way will change.
+    /// Endpoints that a pending decision will change.
     pub busy: &'a Set<EndpointKey>,
-    /// Endpoints that are leaving or gone by what this process has heard.
+    /// Endpoints that are leaving or gone according to reports that this process received.
     pub avoided: &'a Set<EndpointKey>,
-    /// Parts that an organisation's share is divided into.
+    /// Number of parts into which an organisation's share is divided.
     pub parts: u32,
-    /// Whether the decision may take a free permit along.
+    /// Whether the transaction may also take a free permit.
     pub permits: bool,
-    /// A random number.
+    /// Random number that breaks ties.
     pub salt: u64,
 }
 
-/// A model to load at an endpoint; a base that is missing there comes before its adapter.
+/// Models to load on an endpoint; a base that is missing there precedes its adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// Where.
+    /// The endpoint.
     pub endpoint: EndpointKey,
-    /// What, in order.
+    /// The models, in loading order.
     pub models: Vec<ModelKey>,
 }
 
-/// The rule by which an endpoint is chosen.
+/// Policy that selects an endpoint.
 pub trait Placement: Send {
-    /// Chooses an endpoint among those that can take the models.
-    fn choose(&self, scene: &Scene<'_>, options: &[Place]) -> Option<usize>;
+    /// Returns the index of the selected option among the endpoints that can load the models.
+    fn choose(&self, scene: &Scene<'_>, options: &[PlacementOption]) -> Option<usize>;
 }
 
-/// An endpoint that can take the models asked for.
+/// An endpoint that can load the requested models.
 #[derive(Debug, Clone)]
-pub struct Place {
-    /// Where.
+pub struct PlacementOption {
+    /// The endpoint.
     pub endpoint: EndpointKey,
-    /// What must be loaded, in order.
+    /// Models that must be loaded, in order.
     pub models: Vec<ModelKey>,
-    /// Memory free without unloading, in MB.
+    /// Memory free without evictions, in MB.
     pub free_mb: u64,
     /// Memory needed, in MB.
     pub need_mb: u64,
-    /// Load time with the caches there, in milliseconds.
+    /// Load time given the weights cached there, in milliseconds.
     pub load_ms: u64,
-    /// Whether a copy is in the same zone.
-    pub zone_taken: bool,
+    /// Whether the zone already has a replica.
+    pub zone_occupied: bool,
 }
 
-/// Takes the place where the model is ready first and least is lost.
+/// Selects the endpoint with the lowest cost of loading, eviction and zone overlap.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CheapestPlace;
 
 impl CheapestPlace {
-    fn cost(place: &Place) -> u64 {
+    fn cost(place: &PlacementOption) -> u64 {
         let evict = if place.need_mb > place.free_mb {
             let missing = place.need_mb - place.free_mb;
-            EVICT_MS + place.load_ms * missing / place.need_mb.max(1)
+            EVICTION_COST_MS + place.load_ms * missing / place.need_mb.max(1)
         } else {
             0
         };
-        let zone = if place.zone_taken { SAME_ZONE_MS } else { 0 };
+        let zone = if place.zone_occupied { SAME_ZONE_COST_MS } else { 0 };
         place.load_ms + evict + zone
     }
 }
 
 impl Placement for CheapestPlace {
-    fn choose(&self, scene: &Scene<'_>, options: &[Place]) -> Option<usize> {
-        let rank = |place: &Place| {
-            // In coarse steps: with the exact best fit, all deciders of a burst would take the same
-            // endpoint, and all but one would meet a conflict.
+    fn choose(&self, scene: &Scene<'_>, options: &[PlacementOption]) -> Option<usize> {
+        let rank = |place: &PlacementOption| {
+            // Coarse steps: with an exact best fit, all entries that decide in a burst would select
+            // the same endpoint, and all but one would conflict.
             let leftover = place.free_mb.saturating_sub(place.need_mb) / place.need_mb.max(1);
-            let leftover = leftover.min(FIT_STEPS);
+            let leftover = leftover.min(MAX_FIT_STEPS);
             let name = scene.view.endpoint_name(place.endpoint);
             (Self::cost(place), leftover, hash_bytes(name.as_bytes()) ^ scene.salt)
         };
@@ -132,20 +132,20 @@
     }
 }
 
-/// The naive rule: the endpoint with the most free memory.
+/// Baseline policy: selects the endpoint with the most free memory.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EmptiestPlace;
 
 impl Placement for EmptiestPlace {
-    fn choose(&self, _: &Scene<'_>, options: &[Place]) -> Option<usize> {
+    fn choose(&self, _: &Scene<'_>, options: &[PlacementOption]) -> Option<usize> {
         (0..options.len()).max_by_key(|index| options[*index].free_mb)
     }
 }
 
-/// Plans a load.
+/// Selects an endpoint for a requested replica.
 ///
 /// # Errors
-/// Why there is nothing to decide, or nowhere to go.
+/// Returns the reason if no replica is needed or none can be placed.
 pub fn plan(scene: &Scene<'_>, rule: &dyn Placement, ask: &Ask) -> Result<Plan, NoPlace> {
     let model = scene.catalogue.models.get(&ask.model).ok_or(NoPlace::Unknown)?;
     let decided = scene.view.model_row(ask.model).map_or(0, |row| row.holders.len() as u64);
@@ -155,7 +155,7 @@
     let mut blocked = false;
     let mut options = Vec::new();
     for (key, row) in scene.view.endpoints() {
-        let Some(place) = place_at(scene, ask.model, model, key, row) else { continue };
+        let Some(place) = option_at(scene, ask.model, model, key, row) else { continue };
         if scene.busy.contains(&key) {
             blocked = true;
             continue;
@@ -163,7 +163,7 @@
         options.push(place);
     }
     keep_with_base(scene, model, &mut options);
-    let affordable = |place: &Place| can_pay(scene, &place.models);
+    let affordable = |place: &PlacementOption| share_covers(scene, &place.models);
     if !options.is_empty() && !options.iter().any(affordable) {
         return Err(NoPlace::ShareUsed);
     }
@@ -179,8 +179,9 @@
     }
 }
 
-/// An adapter goes where its base model is, if that is anywhere.
-fn keep_with_base(scene: &Scene<'_>, model: &Model, options: &mut Vec<Place>) {
+/// Restricts an adapter to endpoints that have its base model, if there is one among the options
+/// or the base has all its replicas.
+fn keep_with_base(scene: &Scene<'_>, model: &Model, options: &mut Vec<PlacementOption>) {
     let Some(base) = model.base else { return };
     let with_base = options.iter().any(|place| place.models.len() == 1);
     let decided = scene.view.model_row(base).map_or(0, |row| row.holders.len() as u64);
@@ -190,13 +191,13 @@
     }
 }
 
-fn place_at(
+fn option_at(
     scene: &Scene<'_>,
     key: ModelKey,
     model: &Model,
     endpoint: EndpointKey,
     row: &EndpointRow,
-) -> Option<Place> {
+) -> Option<PlacementOption> {
     if row.leaving || row.memory_mb == 0 || scene.avoided.contains(&endpoint) {
         return None;
     }
@@ -218,37 +219,38 @@
     let need_mb = specs.iter().map(|spec| spec.peak_mb).sum::<u64>();
     let load_ms =
         specs.iter().map(|spec| load_ms(spec, scene.view.tier(endpoint, &spec.name))).sum();
-    let promised = row.promised_mb();
+    let committed_mb = row.committed_mb();
     let reclaimable =
         reclaimable_mb(row, &model.base.map(|base| scene.view.registry.models.name(base)));
-    if promised + need_mb > row.memory_mb + reclaimable {
+    if committed_mb + need_mb > row.memory_mb + reclaimable {
         return None;
     }
-    let zone_taken = scene
+    let zone_occupied = scene
         .view
         .replicas(key)
         .any(|(holder, _)| scene.view.endpoint(holder).is_some_and(|other| other.zone == row.zone));
-    let free_mb = row.memory_mb.saturating_sub(promised);
-    Some(Place { endpoint, models, free_mb, need_mb, load_ms, zone_taken })
+    let free_mb = row.memory_mb.saturating_sub(committed_mb);
+    Some(PlacementOption { endpoint, models, free_mb, need_mb, load_ms, zone_occupied })
 }
 
-/// Memory that unloading could free, in MB: what serves and is not the base that is needed.
+/// Returns the memory that evictions could free, in MB: ready replicas other than the needed base,
+/// and replicas that are being unloaded.
 fn reclaimable_mb(row: &EndpointRow, base: &Option<&str>) -> u64 {
     let mut total = 0;
     for replica in &row.replicas {
-        let counts = match replica.phase() {
+        let counted = match replica.phase() {
             Phase::Ready => base.is_none_or(|base| replica.model != base),
             Phase::Unloading => true,
             Phase::Wanted | Phase::Loading => false,
         };
-        if counts {
+        if counted {
             total += replica.memory_mb;
         }
     }
     total
 }
 
-/// Load time from a tier, in milliseconds.
+/// Returns the load time of a model from a tier, in milliseconds.
 pub fn load_ms(model: &Model, tier: Tier) -> u64 {
     match tier {
         Tier::Remote => model.remote_ms,
@@ -257,7 +259,7 @@
     }
 }
 
-fn can_pay(scene: &Scene<'_>, models: &[ModelKey]) -> bool {
+fn share_covers(scene: &Scene<'_>, models: &[ModelKey]) -> bool {
     let mut orgs: Vec<(OrgKey, u64)> = Vec::new();
     for model in models.iter().filter_map(|key| scene.catalogue.models.get(key)) {
         match orgs.iter_mut().find(|(org, _)| *org == model.org) {
@@ -265,82 +267,83 @@
             None => orgs.push((model.org, model.memory_mb)),
         }
     }
-    orgs.iter().all(|(org, need)| Shares::read(scene, *org).free() >= *need)
+    orgs.iter().all(|(org, need)| OrgShare::read(scene, *org).free() >= *need)
 }
 
-/// An organisation's share in its parts.
+/// An organisation's share, divided into parts.
 ///
-/// Each part is a row of its own with a limit of its own: deciders for different models touch
-/// different rows, and a part that is short borrows from another in the same transaction. The
-/// balances sum to zero, so the parts together never exceed the share.
-struct Shares {
+/// Each part has its own row and limit, so that decisions on different models write different
+/// rows; a part that is short borrows from another in the same transaction. The balances sum to
+/// zero, so the parts together never exceed the share.
+struct OrgShare {
     limit: u64,
-    parts: Vec<Held<ShareRow>>,
+    parts: Vec<Versioned<ShareRow>>,
 }
 
-impl Shares {
-    fn read(scene: &Scene<'_>, org: OrgKey) -> Shares {
+impl OrgShare {
+    fn read(scene: &Scene<'_>, org: OrgKey) -> OrgShare {
         let share = scene.catalogue.organisations.get(&org).map_or(0, |it| it.share_mb);
         let parts = (0..scene.parts).map(|part| scene.view.share(org, part)).collect();
-        Shares { limit: share / u64::from(scene.parts.max(1)), parts }
+        OrgShare { limit: share / u64::from(scene.parts.max(1)), parts }
     }
 
-    fn spare(&self, part: usize) -> u64 {
+    fn free_in(&self, part: usize) -> u64 {
         let row = self.parts[part].row.clone().unwrap_or_default();
         self.limit.saturating_add_signed(row.balance_mb).saturating_sub(row.used_mb)
     }
 
     fn free(&self) -> u64 {
-        (0..self.parts.len()).map(|part| self.spare(part)).sum()
+        (0..self.parts.len()).map(|part| self.free_in(part)).sum()
     }
 
-    /// Takes `need` from `part`, borrowing what is short; gives the parts that changed.
-    fn take(&mut self, part: usize, need: u64) -> Vec<usize> {
+    /// Reserves `need` MB in `part`, borrowing from other parts; returns the parts that changed.
+    fn reserve(&mut self, part: usize, need: u64) -> Vec<usize> {
         let mut changed = vec![part];
-        let mut short = need.saturating_sub(self.spare(part));
-        while short > 0 {
+        let mut missing_mb = need.saturating_sub(self.free_in(part));
+        while missing_mb > 0 {
             let lender = (0..self.parts.len())
                 .filter(|other| *other != part)
-                .max_by_key(|other| self.spare(*other));
+                .max_by_key(|other| self.free_in(*other));
             let Some(lender) = lender else { break };
-            let lent = self.spare(lender).min(short);
+            let lent = self.free_in(lender).min(missing_mb);
             if lent == 0 {
                 break;
             }
-            self.row(lender).balance_mb -= lent as i64;
-            self.row(part).balance_mb += lent as i64;
+            self.row_mut(lender).balance_mb -= lent as i64;
+            self.row_mut(part).balance_mb += lent as i64;
             changed.push(lender);
-            short -= lent;
+            missing_mb -= lent;
         }
-        self.row(part).used_mb += need;
+        self.row_mut(part).used_mb += need;
         changed
     }
 
-    fn row(&mut self, part: usize) -> &mut ShareRow {
+    fn row_mut(&mut self, part: usize) -> &mut ShareRow {
         self.parts[part].row.get_or_insert_default()
     }
 }
 
-/// The part of a share that pays for a model.
+/// Returns the part of a share in which a model's memory is reserved.
 pub fn share_part(model: &str, parts: u32) -> u32 {
     (hash_bytes(model.as_bytes()) % u64::from(parts.max(1))) as u32
 }
 
-/// How early a load goes among those that wait for a permit: by deadline, class and dependants.
+/// Returns the rank of a load in the permit queue, by deadline, class and dependent services; the
+/// smallest goes first.
 pub fn urgency(ask: &Ask, model: &Model) -> u64 {
     let class = match ask.class {
         Class::Urgent => 0,
-        Class::Normal => CLASS_MS,
-        Class::Batch => 2 * CLASS_MS,
+        Class::Normal => CLASS_STEP_MS,
+        Class::Batch => 2 * CLASS_STEP_MS,
     };
-    (ask.slack_ms.min(CLASS_MS) + class).saturating_sub(model.dependants * DEPENDANT_MS)
+    (ask.slack_ms.min(CLASS_STEP_MS) + class).saturating_sub(model.dependants * DEPENDANT_BONUS_MS)
 }
 
-/// Builds the transaction that carries out `plan`.
+/// Builds the transaction that commits `plan`.
 ///
-/// The endpoint's ledger, each model's row, the share and the permit change together, each under
-/// the version that was read. Two deciders of one burst therefore cannot both succeed, and a
-/// transaction whose answer was lost cannot take effect twice.
+/// The endpoint's ledger, each model's row, the share and the permit change together, each checked
+/// against the version that was read. Of two concurrent decisions on the same rows only one
+/// succeeds, and a transaction whose answer was lost cannot take effect twice.
 pub fn load_txn(scene: &Scene<'_>, plan: &Plan, ask: &Ask, order: u64) -> Txn {
     let mut txn = Txn::default();
     let Some(row) = scene.view.endpoint(plan.endpoint) else { return txn };
@@ -350,12 +353,12 @@
     weights.loads_once = scene.catalogue.pool.loads_once;
     weights.loads_second = scene.catalogue.pool.loads_second;
     let endpoint = scene.view.endpoint_name(plan.endpoint).to_owned();
-    let mut shares: Vec<(OrgKey, Shares, Vec<usize>)> = Vec::new();
+    let mut shares: Vec<(OrgKey, OrgShare, Vec<usize>)> = Vec::new();
     for (index, key) in plan.models.iter().enumerate() {
         let Some(model) = scene.catalogue.models.get(key) else { continue };
         let tier = scene.view.tier(plan.endpoint, &model.name);
         let mut replica = new_replica(scene, ask, model, order + index as u64, tier);
-        if (scene.permits || !replica.remote) && may_start(&ledger, &weights, &replica) {
+        if (scene.permits || !replica.remote) && can_start_load(&ledger, &weights, &replica) {
             replica.phase = Phase::Loading.into();
             if replica.remote {
                 weights.permits.push(Permit { endpoint: endpoint.clone(), order: replica.order });
@@ -365,24 +368,24 @@
         ledger.replicas.push(replica);
         let position = shares.iter().position(|(org, ..)| *org == model.org);
         let position = position.unwrap_or_else(|| {
-            shares.push((model.org, Shares::read(scene, model.org), Vec::new()));
+            shares.push((model.org, OrgShare::read(scene, model.org), Vec::new()));
             shares.len() - 1
         });
         let (_, share, changed) = &mut shares[position];
-        changed.extend(share.take(part, model.memory_mb));
-        let held = scene.view.model(*key);
-        let mut holders = held.row.unwrap_or_default();
+        changed.extend(share.reserve(part, model.memory_mb));
+        let versioned = scene.view.model(*key);
+        let mut holders = versioned.row.unwrap_or_default();
         holders.holders.push(endpoint.clone());
-        txn.put(model_key(&model.name), held.version, Some(holders.encode_to_vec()));
+        txn.put(model_key(&model.name), versioned.version, Some(holders.encode_to_vec()));
     }
     for (org, share, mut changed) in shares {
         changed.sort_unstable();
         changed.dedup();
         let name = scene.view.registry.organisations.name(org);
         for part in changed {
-            let held = &share.parts[part];
-            let body = held.row.clone().unwrap_or_default().encode_to_vec();
-            txn.put(share_key(name, part as u32), held.version, Some(body));
+            let versioned = &share.parts[part];
+            let body = versioned.row.clone().unwrap_or_default().encode_to_vec();
+            txn.put(share_key(name, part as u32), versioned.version, Some(body));
         }
     }
     if weights.permits != weights_before.permits {
@@ -410,21 +413,22 @@
     }
 }
 
-/// Whether a wanted replica may begin to load: memory for its peak, its base and a permit.
-pub fn may_start(ledger: &EndpointRow, weights: &WeightsRow, replica: &Replica) -> bool {
+/// Returns whether a wanted replica can begin to load: it needs memory for its peak, its base and,
+/// to read from the weight store, a permit.
+pub fn can_start_load(ledger: &EndpointRow, weights: &WeightsRow, replica: &Replica) -> bool {
     let room = fits_now(ledger, replica);
-    let based = base_ready(ledger, replica);
+    let base_loaded = base_ready(ledger, replica);
     let permit = !replica.remote
         || (weights.waiters.is_empty() && (weights.permits.len() as u64) < weights.loads_once);
-    room && based && permit
+    room && base_loaded && permit
 }
 
-/// Whether the ledger has memory for the replica's peak beside all that is held.
+/// Returns whether the replica's peak memory fits beside the memory held in the ledger.
 pub fn fits_now(ledger: &EndpointRow, replica: &Replica) -> bool {
     ledger.held_mb() + replica.peak_mb.max(replica.memory_mb) <= ledger.memory_mb
 }
 
-/// Whether the base that an adapter needs serves.
+/// Returns whether the base of an adapter is ready; true for other models.
 pub fn base_ready(ledger: &EndpointRow, replica: &Replica) -> bool {
     let ready = |base: &Replica| base.phase() == Phase::Ready;
     replica.base.is_empty() || ledger.replica(&replica.base).is_some_and(ready)
--- a/crates/decide/src/refusal.rs
+++ b/crates/decide/src/refusal.rs
@@ -1,20 +1,20 @@
-//! How a request is refused, in stable words.
+//! Refusals of requests, with stable names and HTTP statuses.
 
 use serde::Serialize;
 
-/// Whether the call ran.
+/// Whether a call was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// It did not run and will not.
+    /// The call did not run and will not.
     No,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
-    /// It ran, or its answer was cut.
+    /// The call ran, possibly with a truncated answer.
     Yes,
 }
 
-/// Why a request is refused.
+/// Reason why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RefusalKind {
     /// No organisation has this API key.
@@ -23,38 +23,39 @@
     UnknownModel,
     /// The caller's organisation has no such service.
     UnknownService,
-    /// Too many requests wait for the model.
+    /// Too many requests are waiting for the model.
     QueueFull,
     /// The process holds too many requests, or its retry budget is used up.
     Overloaded,
-    /// It could not be served before its deadline.
+    /// The request could not be served before its deadline.
     TooLate,
-    /// Its deadline has passed.
+    /// The deadline has passed.
     Expired,
     /// The organisation's share of the pool is in use.
     ShareUsed,
     /// No endpoint has room.
     PoolFull,
-    /// The model is not loaded, and nothing can be decided while the platform's table is away.
+    /// The model is not loaded, and loads cannot be decided while the platform table is
+    /// unavailable.
     StoreDown,
     /// The model could not be loaded.
     LoadFailed,
-    /// The process is being stopped.
+    /// The process is draining.
     Draining,
-    /// The text no longer has the model or service.
+    /// The configuration no longer has the model or service.
     Removed,
     /// The connection to the endpoint was lost after the call was sent.
     Lost,
     /// Another request with the same idempotency key may be running.
     InFlight,
-    /// The first answer under the idempotency key is too large to repeat.
+    /// The first answer under the idempotency key is too large to replay.
     AnswerLarge,
-    /// The idempotency key was used with another body.
+    /// The idempotency key was used with another request body.
     KeyReused,
 }
 
 impl RefusalKind {
-    /// The stable word.
+    /// Returns the stable name.
     pub fn word(self) -> &'static str {
         match self {
             RefusalKind::Unauthorised => "unauthorised",
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         match self {
             RefusalKind::Unauthorised => 401,
@@ -96,24 +97,24 @@
     }
 }
 
-/// A final answer that is not the call's own.
+/// A final answer that reports why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub kind: RefusalKind,
     /// Whether the call ran.
     pub ran: Ran,
-    /// When to come back, in milliseconds, where a retry makes sense.
+    /// Delay after which a retry makes sense, in milliseconds.
     pub retry_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a call that did not run.
+    /// Creates a refusal of a call that did not run.
     pub fn not_run(kind: RefusalKind) -> Refusal {
         Refusal { kind, ran: Ran::No, retry_ms: None }
     }
 
-    /// Says when to come back.
+    /// Sets the delay before a retry.
     pub fn retry_in(self, millis: u64) -> Refusal {
         Refusal { retry_ms: Some(millis), ..self }
     }
--- a/crates/decide/src/routing.rs
+++ b/crates/decide/src/routing.rs
@@ -1,40 +1,42 @@
-//! Which warm replica gets a request.
+//! Selection of the loaded replica that serves a request.
 
 use rand::{Rng, rngs::SmallRng};
 
 use citronrill_base::EndpointKey;
 
-/// A reported load counts for half after this time, in milliseconds.
+/// Half-life of a reported load, in milliseconds.
 const REPORT_HALF_LIFE_MS: u64 = 400;
-/// A replica in another zone is taken only if the nearer one is busier by this part of its slots.
+/// A replica in another zone is preferred only if the load of the nearer one, as a fraction of its
+/// slots, is higher by more than this.
 const ZONE_MARGIN: f64 = 0.5;
-/// The replica that has a prompt's prefix cached is left if it is busier by this part of its slots.
+/// The replica that has a prompt's prefix cached is passed over if its load, as a fraction of its
+/// slots, is higher by more than this.
 const PREFIX_MARGIN: f64 = 0.25;
 
-/// A replica that could take a request.
+/// A replica that can serve a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// Where it is.
+    /// The replica's endpoint.
     pub endpoint: EndpointKey,
-    /// Requests that this entry has running there.
+    /// Number of requests of this entry that are running on the endpoint.
     pub own: u32,
-    /// Requests of others that the side last reported.
+    /// Number of requests of other entries in the side's last report.
     pub reported: u32,
-    /// How old the report is, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub age_ms: u64,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is in the entry's zone.
+    /// Whether the endpoint is in the entry's zone.
     pub near: bool,
-    /// A stable hash of prompt prefix and endpoint; 0 without a prefix.
+    /// Stable hash of prompt prefix and endpoint; 0 without a prefix.
     pub affinity: u64,
 }
 
 impl Candidate {
-    /// Expected load as a part of the slots.
+    /// Returns the expected load as a fraction of the slots.
     fn load(&self) -> f64 {
-        let fade = 0.5_f64.powf(self.age_ms as f64 / REPORT_HALF_LIFE_MS as f64);
-        let others = f64::from(self.reported) * fade;
+        let decay = 0.5_f64.powf(self.age_ms as f64 / REPORT_HALF_LIFE_MS as f64);
+        let others = f64::from(self.reported) * decay;
         (f64::from(self.own) + others) / f64::from(self.slots.max(1))
     }
 
@@ -43,17 +45,18 @@
     }
 }
 
-/// The rule by which a replica is picked.
+/// Policy that selects a replica.
 pub trait Router: Send {
-    /// The index of the candidate to take; `None` only if there is none.
+    /// Returns the index of the selected candidate; `None` only if there are no candidates.
     fn pick(&self, candidates: &[Candidate], rng: &mut SmallRng) -> Option<usize>;
 }
 
-/// Takes the better of two, one of them by prefix where there is one.
+/// Selects the better of two random candidates, unless the one that has the prompt's prefix cached
+/// costs little more.
 ///
-/// Reports lag: with the single least loaded replica, every entry would take the one that looked
-/// idle a moment ago and bury it. Two random choices spread the same information; own requests are
-/// counted at once and need no report.
+/// Reports lag: if every entry selected the least loaded replica, all of them would overload the
+/// one that was recently idle. Two random choices spread the load; an entry's own requests are
+/// counted immediately, without a report.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TwoChoices;
 
@@ -82,7 +85,7 @@
     }
 }
 
-/// The naive rule: any replica.
+/// Baseline policy: selects a replica at random.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AnyReplica;
 
--- a/crates/decide/src/rows.rs
+++ b/crates/decide/src/rows.rs
@@ -1,19 +1,19 @@
-//! The rows that citronrill keeps in the platform's table.
+//! The rows that citronrill stores in the platform table.
 //!
-//! Every key under [`FEED`] is spread to the entries; claims are read only by those they concern.
+//! Every row under [`FEED`] is distributed to all entries; other rows are read when needed.
 
 use prost::{Enumeration, Message};
 
-/// Prefix of the rows that every entry follows.
+/// Prefix of the rows that are distributed to every entry.
 pub const FEED: &str = "s/";
-/// The row that names the version in force.
+/// Key of the [`HeadRow`].
 pub const HEAD: &str = "s/head";
-/// The row that holds load permits.
+/// Key of the [`WeightsRow`], which holds the load permits.
 ///
-/// It is not part of the feed: it changes with every load, grows with the line that waits, and only
-/// those who decide or load need it, who read it anyway.
+/// It is not part of the feed: it changes with every load and grows with the queue, and only the
+/// processes that decide or load need it, which read it directly.
 pub const WEIGHTS: &str = "permits/weights";
-/// Deltas of the text are kept for this many versions.
+/// Number of configuration versions whose deltas are kept.
 pub const DELTA_RING: u64 = 64;
 
 const ENDPOINT: &str = "s/endpoint/";
@@ -23,21 +23,21 @@
 const DELTA: &str = "s/delta/";
 const CACHE: &str = "s/cache/";
 
-/// Where a replica is in its life.
+/// Lifecycle phase of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum Phase {
-    /// Decided; holds no memory yet.
+    /// Decided; no memory is held yet.
     Wanted = 0,
-    /// The engine may be loading; holds its peak of memory.
+    /// The engine may be loading it; the peak memory is held.
     Loading = 1,
-    /// Serves.
+    /// Serving requests.
     Ready = 2,
-    /// Takes nothing new; holds its memory until the engine confirms.
+    /// Accepts no new requests; the memory is held until the engine confirms the unload.
     Unloading = 3,
 }
 
-/// Where an endpoint has a copy of a model's weights.
+/// Fastest storage tier from which an endpoint can load a model's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum Tier {
@@ -45,17 +45,17 @@
     Remote = 0,
     /// On the engine's disk.
     Disk = 1,
-    /// In the host's memory.
+    /// In the host's RAM.
     Ram = 2,
 }
 
-/// One decided replica in an endpoint's ledger.
+/// A decided replica in an endpoint's ledger.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Replica {
     /// The model's name.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// The organisation whose share it counts against.
+    /// The organisation whose share the replica counts against.
     #[prost(string, tag = "2")]
     pub org: String,
     /// Memory when loaded, in MB.
@@ -67,10 +67,10 @@
     /// The decision's id.
     #[prost(uint64, tag = "5")]
     pub order: u64,
-    /// Where it is in its life.
+    /// Lifecycle phase.
     #[prost(enumeration = "Phase", tag = "6")]
     pub phase: i32,
-    /// Whether the load goes to the weight store and holds a permit.
+    /// Whether the load reads from the weight store and needs a permit.
     #[prost(bool, tag = "7")]
     pub remote: bool,
     /// The base model's name, for an adapter.
@@ -79,18 +79,19 @@
     /// Expected load time in milliseconds.
     #[prost(uint64, tag = "9")]
     pub load_ms: u64,
-    /// Rank among loads that wait for a permit; the smaller goes first.
+    /// Rank among the loads that wait for a permit; the smallest goes first.
     #[prost(uint64, tag = "10")]
     pub urgency: u64,
-    /// The share row that it was taken from.
+    /// Part of the share in which its memory is reserved.
     #[prost(uint32, tag = "11")]
     pub bucket: u32,
 }
 
 impl Replica {
-    /// Memory that the ledger holds for it, in MB.
+    /// Returns the memory that the ledger holds for the replica, in MB.
     ///
-    /// A load in doubt keeps its peak: an engine may be loading although nobody has heard of it.
+    /// A load with an unknown outcome keeps its peak, since the engine may be loading without
+    /// having reported it.
     pub fn held_mb(&self) -> u64 {
         match self.phase() {
             Phase::Wanted => 0,
@@ -100,7 +101,7 @@
     }
 }
 
-/// A cached copy of a model's weights.
+/// Cached weights of a model.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Cached {
     /// The model's name.
@@ -111,10 +112,10 @@
     pub tier: i32,
 }
 
-/// An endpoint: its memory ledger and what a caller's entry needs to reach it.
+/// An endpoint: its memory ledger and what an entry needs to reach it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct EndpointRow {
-    /// Counts the side processes that have owned the endpoint; the fencing number.
+    /// Fencing number; increases with every side process that claims the endpoint.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     /// The side's address.
@@ -126,13 +127,13 @@
     /// Accelerator memory, in MB.
     #[prost(uint64, tag = "4")]
     pub memory_mb: u64,
-    /// Requests run at once.
+    /// Maximum number of concurrent requests.
     #[prost(uint64, tag = "5")]
     pub slots: u64,
-    /// The platform's name of the instance.
+    /// Name of the instance on the platform.
     #[prost(string, tag = "6")]
     pub instance: String,
-    /// Whether the endpoint takes nothing new.
+    /// Whether the endpoint is draining and accepts no new calls or replicas.
     #[prost(bool, tag = "7")]
     pub leaving: bool,
     /// Decided replicas.
@@ -140,7 +141,7 @@
     pub replicas: Vec<Replica>,
 }
 
-/// What an endpoint has cached; a row of its own, as it is long and changes seldom.
+/// Cached weights of an endpoint; a separate row, since it is long and rarely changes.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct CacheRow {
     /// Cached weights.
@@ -149,35 +150,35 @@
 }
 
 impl EndpointRow {
-    /// Memory held by all replicas, in MB.
+    /// Returns the memory currently held by all replicas, in MB.
     pub fn held_mb(&self) -> u64 {
         self.replicas.iter().map(Replica::held_mb).sum()
     }
 
-    /// Memory that all decided replicas will hold, in MB.
-    pub fn promised_mb(&self) -> u64 {
+    /// Returns the memory that all decided replicas hold or will hold once loaded, in MB.
+    pub fn committed_mb(&self) -> u64 {
         self.replicas.iter().map(|replica| replica.held_mb().max(replica.memory_mb)).sum()
     }
 
-    /// The replica of `model`.
+    /// Returns the replica of `model`.
     pub fn replica(&self, model: &str) -> Option<&Replica> {
         self.replicas.iter().find(|replica| replica.model == model)
     }
 }
 
-/// A model: on which endpoints replicas were decided, and what was learned of its traffic.
+/// A model: the endpoints with decided replicas, and its traffic statistics.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ModelRow {
-    /// Names of the endpoints.
+    /// Names of the endpoints with a decided replica.
     #[prost(string, repeated, tag = "1")]
     pub holders: Vec<String>,
-    /// Gaps between requests, by the logarithm of their length.
+    /// Histogram of the gaps between requests, by the logarithm of their length.
     #[prost(bytes = "vec", tag = "2")]
     pub gaps: Vec<u8>,
-    /// Activity by hour of the day.
+    /// Activity by time slot of the day.
     #[prost(bytes = "vec", tag = "3")]
-    pub hours: Vec<u8>,
-    /// Loads that failed since the last that worked.
+    pub activity: Vec<u8>,
+    /// Number of consecutive failed loads.
     #[prost(uint32, tag = "4")]
     pub failures: u32,
 }
@@ -185,15 +186,15 @@
 /// A part of an organisation's share.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ShareRow {
-    /// Memory taken, in MB.
+    /// Memory in use, in MB.
     #[prost(uint64, tag = "1")]
     pub used_mb: u64,
-    /// Memory lent by (positive) or to (negative) the other parts, in MB.
+    /// Memory borrowed from (positive) or lent to (negative) the other parts, in MB.
     #[prost(sint64, tag = "2")]
     pub balance_mb: i64,
 }
 
-/// The right to read from the weight store.
+/// Permission to read from the weight store.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Permit {
     /// The endpoint that loads.
@@ -213,10 +214,10 @@
     /// The replica's decision id.
     #[prost(uint64, tag = "2")]
     pub order: u64,
-    /// The smaller goes first.
+    /// Rank; the smallest goes first.
     #[prost(uint64, tag = "3")]
     pub urgency: u64,
-    /// How often another went before it.
+    /// Number of loads that took a permit before it.
     #[prost(uint32, tag = "4")]
     pub passed: u32,
 }
@@ -224,16 +225,16 @@
 /// The weight store's permits.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct WeightsRow {
-    /// Permits given out.
+    /// Permits in use.
     #[prost(message, repeated, tag = "1")]
     pub permits: Vec<Permit>,
-    /// Loads that wait.
+    /// Loads that wait for a permit.
     #[prost(message, repeated, tag = "2")]
     pub waiters: Vec<Waiter>,
-    /// Permits at once.
+    /// Maximum number of concurrent permits.
     #[prost(uint64, tag = "3")]
     pub loads_once: u64,
-    /// Loads started a second.
+    /// Maximum number of load starts per second.
     #[prost(uint64, tag = "4")]
     pub loads_second: u64,
 }
@@ -241,70 +242,70 @@
 /// An entry process.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct MemberRow {
-    /// Where peers reach it.
+    /// Address at which peers reach it.
     #[prost(string, tag = "1")]
     pub address: String,
     /// The availability zone.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Drawn at the start of the process.
+    /// Random number drawn when the process starts.
     #[prost(uint64, tag = "3")]
     pub session: u64,
 }
 
-/// The version of the text in force.
+/// The current version of the configuration.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct HeadRow {
-    /// Counts accepted texts.
+    /// Version; increases with every accepted configuration.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Digest of the text.
+    /// Digest of the configuration.
     #[prost(string, tag = "2")]
     pub digest: String,
-    /// The object that holds the whole text.
+    /// Name of the object that holds the complete configuration.
     #[prost(string, tag = "3")]
     pub object: String,
 }
 
-/// What one version changed.
+/// The changes of one configuration version.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct DeltaRow {
-    /// The version that results.
+    /// The resulting version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Digest of the text that results.
+    /// Digest of the resulting configuration.
     #[prost(string, tag = "2")]
     pub digest: String,
     /// New or changed sections.
     #[prost(string, repeated, tag = "3")]
     pub changed: Vec<String>,
-    /// Headers of dropped sections.
+    /// Headers of removed sections.
     #[prost(string, repeated, tag = "4")]
     pub removed: Vec<String>,
-    /// Whether the change was too large to carry: fetch the object.
+    /// Whether the change is too large for the row, so that the object must be fetched.
     #[prost(bool, tag = "5")]
     pub whole: bool,
 }
 
-/// How far a claimed call has come.
+/// State of a claimed call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum ClaimState {
-    /// It may run or have run.
+    /// The call may be running or have run.
     Open = 0,
-    /// It ran, and its answer is kept.
+    /// The call ran, and its answer is stored.
     Answered = 1,
-    /// It ran, and its answer was too large to keep.
+    /// The call ran, and its answer was too large to store.
     AnsweredLarge = 2,
 }
 
-/// The claim on a call that may run once.
+/// The claim on a call that may run at most once.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ClaimRow {
-    /// Who may send the call.
+    /// Token of the request that owns the claim and may send the call.
     #[prost(uint64, tag = "1")]
     pub token: u64,
-    /// How far it has come.
+    /// State of the call.
     #[prost(enumeration = "ClaimState", tag = "2")]
     pub state: i32,
     /// The answer's HTTP status.
@@ -321,7 +322,7 @@
     pub content_type: String,
 }
 
-/// The kind of a row under [`FEED`], with the name it carries.
+/// Kind of a row, with the name in its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowKind<'a> {
     /// [`HeadRow`].
@@ -344,7 +345,7 @@
     Other,
 }
 
-/// What `key` is the key of.
+/// Returns the kind of the row with `key`.
 pub fn row_kind(key: &str) -> RowKind<'_> {
     if key == HEAD {
         return RowKind::Head;
@@ -374,47 +375,47 @@
     }
 }
 
-/// Key of an [`EndpointRow`].
+/// Returns the key of an [`EndpointRow`].
 pub fn endpoint_key(name: &str) -> String {
     format!("{ENDPOINT}{name}")
 }
 
-/// Key of a [`CacheRow`].
+/// Returns the key of a [`CacheRow`].
 pub fn cache_key(endpoint: &str) -> String {
     format!("{CACHE}{endpoint}")
 }
 
-/// Key of a [`ModelRow`].
+/// Returns the key of a [`ModelRow`].
 pub fn model_key(name: &str) -> String {
     format!("{MODEL}{name}")
 }
 
-/// Key of a [`ShareRow`].
-pub fn share_key(org: &str, bucket: u32) -> String {
-    format!("{SHARE}{org}/{bucket}")
+/// Returns the key of a [`ShareRow`].
+pub fn share_key(org: &str, part: u32) -> String {
+    format!("{SHARE}{org}/{part}")
 }
 
-/// Key of a [`MemberRow`].
+/// Returns the key of a [`MemberRow`].
 pub fn member_key(instance: &str) -> String {
     format!("{MEMBER}{instance}")
 }
 
-/// Key of the [`DeltaRow`] of `version`.
+/// Returns the key of the [`DeltaRow`] of `version`.
 pub fn delta_key(version: u64) -> String {
     format!("{DELTA}{}", version % DELTA_RING)
 }
 
-/// Key of the [`ClaimRow`] of an organisation's idempotency key, by its hash.
+/// Returns the key of the [`ClaimRow`] of an organisation's idempotency key, by its hash.
 pub fn claim_key(org: &str, hash: u64) -> String {
     format!("claim/{org}/{hash:016x}")
 }
 
-/// Decodes a row; an absent or unreadable one is `None`.
+/// Decodes a row; `None` if it is absent or invalid.
 pub fn decode<M: Message + Default>(body: &Option<Vec<u8>>) -> Option<M> {
     body.as_ref().and_then(|bytes| M::decode(bytes.as_slice()).ok())
 }
 
-/// A phase's word in logs and dumps.
+/// Returns the name of a phase in logs and dumps.
 pub fn phase_word(phase: Phase) -> &'static str {
     match phase {
         Phase::Wanted => "wanted",
--- a/crates/decide/src/side/calls.rs
+++ b/crates/decide/src/side/calls.rs
@@ -1,4 +1,4 @@
-//! Which calls a side runs: each at most once, and none after it was cancelled.
+//! Admission of calls at a side: each runs at most once, and never after its cancellation.
 
 use std::collections::BTreeSet;
 
@@ -7,21 +7,22 @@
 
 use crate::call::{CallId, CancelAnswer, Decline, Offer};
 
-/// Records of calls kept at most.
+/// Maximum number of call records.
 ///
-/// A record lives until its call's expiry on this process's clock: after that a delayed copy is
-/// declined as expired, with no record needed. At 4,300 requests a second over 610 sides, 7 calls a
-/// second come to a side; with deadlines of 10 minutes that is 4,200 records. The limit leaves
-/// room for 15 times as many, in about 6 MB.
+/// A record is kept until its call expires on this process's clock; a duplicate that arrives later
+/// is declined as expired without a record. At 4,300 requests per second over 610 sides, a side
+/// receives 7 calls per second; with deadlines of 10 minutes that is 4,200 records. The limit
+/// leaves room for 15 times as many, in about 6 MB.
 pub const RECORD_LIMIT: usize = 65_536;
-/// Slots that only urgent calls, or organisations below their part, may take: one in this many.
-const RESERVE_PART: u64 = 4;
+/// One in this many slots is reserved for urgent calls and for normal calls of organisations below
+/// their equal part of the slots.
+const RESERVE_DIVISOR: u64 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Running,
     Ended,
-    Refused(Decline),
+    Declined(Decline),
 }
 
 #[derive(Debug, Clone)]
@@ -32,18 +33,18 @@
     org: String,
 }
 
-/// What to do with an offered call.
+/// Decision on an offered call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Run it now.
+    /// Run it.
     Run,
-    /// It runs already or has run: attach to it, do not run it again.
-    Known,
+    /// It is running or has run: attach to it instead of running it again.
+    Duplicate,
     /// Do not run it.
     Declined(Decline),
 }
 
-/// The calls of one side process.
+/// Records and counters of the calls of one side process.
 #[derive(Debug, Default)]
 pub struct Calls {
     records: Map<CallId, Record>,
@@ -56,22 +57,22 @@
 }
 
 impl Calls {
-    /// Calls with room for `limit` records.
+    /// Creates an empty set of calls with room for `limit` records.
     pub fn with_limit(limit: usize) -> Calls {
         Calls { limit: Some(limit), ..Calls::default() }
     }
 
-    /// What was decided on a call before; a frame may come twice.
-    pub fn decided(&self, id: CallId) -> Option<Admission> {
+    /// Returns the earlier decision on a call, if any: an offer may arrive twice.
+    pub fn previous_decision(&self, id: CallId) -> Option<Admission> {
         match self.records.get(&id)?.state {
-            State::Running | State::Ended => Some(Admission::Known),
-            State::Refused(why) => Some(Admission::Declined(why)),
+            State::Running | State::Ended => Some(Admission::Duplicate),
+            State::Declined(reason) => Some(Admission::Declined(reason)),
         }
     }
 
-    /// Decides on an offered call.
+    /// Admits or declines an offered call.
     pub fn offer(&mut self, now: Millis, slots: u64, offer: &Offer) -> Admission {
-        if let Some(admission) = self.decided(offer.id) {
+        if let Some(admission) = self.previous_decision(offer.id) {
             return admission;
         }
         if now.0 > offer.expires {
@@ -86,16 +87,19 @@
         self.last_used.insert(offer.model.clone(), now);
         let expires = Millis(offer.expires);
         let (model, org) = (offer.model.clone(), offer.org.clone());
-        self.keep(offer.id, Record { state: State::Running, expires, model, org });
+        self.insert_record(offer.id, Record { state: State::Running, expires, model, org });
         Admission::Run
     }
 
-    /// Keeps a promise that an offered call will not run, until it expires.
-    pub fn refuse(&mut self, offer: &Offer, why: Decline) {
+    /// Records that an offered call was declined, so that it cannot run before it expires.
+    pub fn record_decline(&mut self, offer: &Offer, reason: Decline) {
         if !self.records.contains_key(&offer.id) && !self.full() {
             let expires = Millis(offer.expires);
             let (model, org) = (String::new(), String::new());
-            self.keep(offer.id, Record { state: State::Refused(why), expires, model, org });
+            self.insert_record(
+                offer.id,
+                Record { state: State::Declined(reason), expires, model, org },
+            );
         }
     }
 
@@ -103,44 +107,44 @@
         if self.running >= slots {
             return false;
         }
-        let reserve = slots / RESERVE_PART;
+        let reserve = slots / RESERVE_DIVISOR;
         if self.running < slots - reserve || offer.class == Class::Urgent {
             return true;
         }
-        let mine = self.per_org.get(&offer.org).copied().unwrap_or(0);
-        let orgs = self.per_org.len() as u64 + u64::from(mine == 0);
-        offer.class != Class::Batch && mine < slots / orgs.max(1)
+        let own_running = self.per_org.get(&offer.org).copied().unwrap_or(0);
+        let orgs = self.per_org.len() as u64 + u64::from(own_running == 0);
+        offer.class != Class::Batch && own_running < slots / orgs.max(1)
     }
 
     fn full(&self) -> bool {
         self.records.len() >= self.limit.unwrap_or(RECORD_LIMIT)
     }
 
-    fn keep(&mut self, id: CallId, record: Record) {
+    fn insert_record(&mut self, id: CallId, record: Record) {
         self.expiry.insert((record.expires, id));
         self.records.insert(id, record);
     }
 
-    /// Answers a cancellation.
+    /// Cancels a call.
     ///
-    /// A call that has not come yet is recorded as cancelled, so that it does not run when it comes
-    /// late. A full record cannot promise that, and says so.
+    /// A call that has not arrived yet is recorded as cancelled, so that it does not run when it
+    /// arrives late. If there is no room for the record, the answer is unknown.
     pub fn cancel(&mut self, now: Millis, id: CallId, expires: u64) -> CancelAnswer {
         match self.records.get(&id).map(|record| record.state) {
             Some(State::Running | State::Ended) => CancelAnswer::Ran,
-            Some(State::Refused(_)) => CancelAnswer::NotRun,
+            Some(State::Declined(_)) => CancelAnswer::NotRun,
             None if now.0 > expires => CancelAnswer::NotRun,
             None if self.full() => CancelAnswer::Unknown,
             None => {
-                let state = State::Refused(Decline::Cancelled);
+                let state = State::Declined(Decline::Cancelled);
                 let (model, org) = (String::new(), String::new());
-                self.keep(id, Record { state, expires: Millis(expires), model, org });
+                self.insert_record(id, Record { state, expires: Millis(expires), model, org });
                 CancelAnswer::NotRun
             }
         }
     }
 
-    /// A call has ended at the engine.
+    /// Records that the engine has finished a call.
     pub fn ended(&mut self, now: Millis, id: CallId) {
         let Some(record) = self.records.get_mut(&id) else { return };
         if record.state != State::Running {
@@ -149,15 +153,15 @@
         record.state = State::Ended;
         let (model, org) = (record.model.clone(), record.org.clone());
         self.running -= 1;
-        lower(&mut self.per_org, &org);
-        lower(&mut self.per_model, &model);
+        decrement(&mut self.per_org, &org);
+        decrement(&mut self.per_model, &model);
         self.last_used.insert(model, now);
         if self.records[&id].expires < now {
-            self.forget(id);
+            self.remove_record(id);
         }
     }
 
-    /// Drops records that have expired; a running call's record stays.
+    /// Removes expired records, except those of running calls.
     pub fn expire(&mut self, now: Millis) {
         while let Some(&(expires, id)) = self.expiry.first() {
             if expires >= now {
@@ -170,44 +174,44 @@
         }
     }
 
-    fn forget(&mut self, id: CallId) {
+    fn remove_record(&mut self, id: CallId) {
         if let Some(record) = self.records.remove(&id) {
             self.expiry.remove(&(record.expires, id));
         }
     }
 
-    /// Calls that run now.
+    /// Returns the number of running calls.
     pub fn running(&self) -> u64 {
         self.running
     }
 
-    /// Calls of one model that run now.
+    /// Returns the number of running calls of a model.
     pub fn running_model(&self, model: &str) -> u64 {
         self.per_model.get(model).copied().unwrap_or(0)
     }
 
-    /// When a model was last used.
+    /// Returns when a model was last used.
     pub fn last_used(&self, model: &str) -> Option<Millis> {
         self.last_used.get(model).copied()
     }
 
-    /// Counts a model as used now, so that one that has just been loaded is not the first to go.
+    /// Records a use of a model, so that one that has just been loaded is not evicted first.
     pub fn touch(&mut self, model: &str, now: Millis) {
         self.last_used.insert(model.to_owned(), now);
     }
 
-    /// Drops what is known of a model that was unloaded.
-    pub fn unloaded(&mut self, model: &str) {
+    /// Removes the last use of a model that was unloaded.
+    pub fn forget_model(&mut self, model: &str) {
         self.last_used.remove(model);
     }
 
-    /// How many records are kept.
+    /// Returns the number of records.
     pub fn records(&self) -> usize {
         self.records.len()
     }
 }
 
-fn lower(counts: &mut Map<String, u64>, key: &str) {
+fn decrement(counts: &mut Map<String, u64>, key: &str) {
     if let Some(count) = counts.get_mut(key) {
         *count -= 1;
         if *count == 0 {
--- a/crates/decide/src/side/permits.rs
+++ b/crates/decide/src/side/permits.rs
@@ -1,8 +1,8 @@
 //! Permits to read from the weight store.
 //!
-//! The store carries few loads at once at full speed and starts few a second. Both limits are kept
-//! by one row: at most so many permits, and each held for at least `loads_once / loads_second`
-//! seconds of its holder's own clock, so that no clocks need to agree.
+//! The store sustains few concurrent loads at full speed and few load starts per second. One row
+//! enforces both limits: it has at most `loads_once` permits, and each is held for at least
+//! `loads_once / loads_second` seconds on its holder's clock, so that clocks need not agree.
 
 use citronrill_base::{Millis, Txn};
 use prost::Message;
@@ -15,19 +15,20 @@
     },
 };
 
-/// How often the permits are read by the load that is next in line, in milliseconds; those behind it
-/// read less often.
+/// Interval at which the load that is next in line reads the permits, in milliseconds; loads
+/// further back read less often.
 const POLL_MS: u64 = 300;
-const POLL_LIMIT_MS: u64 = 3_000;
-/// A free permit that the first in line has not taken for this time goes to the next.
-const FIRST_PATIENCE_MS: u64 = 1_500;
-/// Permits that have not moved for this time are checked against their holders' ledgers.
+const POLL_MAX_MS: u64 = 3_000;
+/// Time after which a free permit that the first waiter has not taken is available to any load, in
+/// milliseconds.
+const FIRST_WAITER_TIMEOUT_MS: u64 = 1_500;
+/// Permits unchanged for this time are checked against their holders' ledgers, in milliseconds.
 const STALE_MS: u64 = 3_000;
-/// A waiter that was passed this often goes first.
-const PASS_LIMIT: u32 = 8;
+/// A waiter that other loads have passed this many times goes first.
+const MAX_PASSED: u32 = 8;
 
 impl Side {
-    /// Takes a wanted replica with room into its load, with a permit where it needs one.
+    /// Begins to load a wanted replica that fits, with a permit if it reads from the weight store.
     pub(super) fn begin_load(
         &mut self,
         mut row: EndpointRow,
@@ -42,90 +43,94 @@
             self.write_row(row, out);
             return true;
         }
-        let mut weights = self.weights.row.clone().unwrap_or_default();
-        if weights.permits.iter().any(|permit| permit.order == order) {
+        let mut permits_row = self.permits_row.row.clone().unwrap_or_default();
+        if permits_row.permits.iter().any(|permit| permit.order == order) {
             self.write_row(row, out);
             return true;
         }
         let mut txn = Txn::default();
-        if self.weights_idle(STALE_MS) && !self.drop_stale(&mut weights, &mut txn, out) {
+        if self.permits_unchanged(STALE_MS)
+            && !self.drop_stale_permits(&mut permits_row, &mut txn, out)
+        {
             return true;
         }
-        if !self.may_take(&weights, order) {
-            return self.wait_in_line(weights, replica, out);
+        if !self.can_take_permit(&permits_row, order) {
+            return self.wait_for_permit(permits_row, replica, out);
         }
-        for waiter in &mut weights.waiters {
+        for waiter in &mut permits_row.waiters {
             waiter.passed += 1;
         }
-        weights.waiters.retain(|waiter| waiter.order != order);
-        weights.permits.push(Permit { endpoint: self.profile.endpoint.clone(), order });
-        txn.put(WEIGHTS, self.weights.version, Some(weights.encode_to_vec()));
+        permits_row.waiters.retain(|waiter| waiter.order != order);
+        permits_row.permits.push(Permit { endpoint: self.profile.endpoint.clone(), order });
+        txn.put(WEIGHTS, self.permits_row.version, Some(permits_row.encode_to_vec()));
         let key = endpoint_key(&self.profile.endpoint);
         txn.put(key, self.row.version, Some(row.encode_to_vec()));
         self.commit(txn, out);
         true
     }
 
-    fn weights_idle(&self, limit: u64) -> bool {
-        self.now.since(self.weights_since) >= limit
+    fn permits_unchanged(&self, limit: u64) -> bool {
+        self.now.since(self.permits_changed) >= limit
     }
 
-    /// Whether a permit is free and this load is the next to have it.
+    /// Returns whether a permit is free and this load may take it.
     ///
-    /// The first in line may be dead, or have no room. A permit that has been free for a while as
-    /// this process sees it goes to whoever wants it; what others do to the row meanwhile does not
-    /// count, or a busy line would wait for ever behind one that does not move.
-    fn may_take(&mut self, weights: &WeightsRow, order: u64) -> bool {
-        if weights.permits.len() as u64 >= weights.loads_once.max(1) {
+    /// The first waiter may be dead or lack memory, so a permit that this process has seen free for
+    /// [`FIRST_WAITER_TIMEOUT_MS`] goes to any load. Other changes of the row do not reset that
+    /// time: otherwise a busy queue would wait forever behind a stalled first waiter.
+    fn can_take_permit(&mut self, permits_row: &WeightsRow, order: u64) -> bool {
+        if permits_row.permits.len() as u64 >= permits_row.loads_once.max(1) {
             self.free_since = None;
             return false;
         }
         let free_since = *self.free_since.get_or_insert(self.now);
-        let patient = self.now.since(free_since) >= FIRST_PATIENCE_MS;
-        let rank = |waiter: &&Waiter| (waiter.passed < PASS_LIMIT, waiter.urgency, waiter.order);
-        let first = weights.waiters.iter().min_by_key(rank);
-        first.is_none_or(|first| first.order == order) || patient
+        let timed_out = self.now.since(free_since) >= FIRST_WAITER_TIMEOUT_MS;
+        let rank = |waiter: &&Waiter| (waiter.passed < MAX_PASSED, waiter.urgency, waiter.order);
+        let first = permits_row.waiters.iter().min_by_key(rank);
+        first.is_none_or(|first| first.order == order) || timed_out
     }
 
-    /// Stands in line, or looks at the line again after a while; whether something was begun.
-    fn wait_in_line(
+    /// Joins the queue for a permit, or reads it again once the polling interval has passed;
+    /// returns whether a transaction was started.
+    fn wait_for_permit(
         &mut self,
-        mut weights: WeightsRow,
+        mut permits_row: WeightsRow,
         replica: &Replica,
         out: &mut Vec<SideEffect>,
     ) -> bool {
-        if weights.waiters.iter().any(|waiter| waiter.order == replica.order) {
-            let earlier = weights.waiters.iter().filter(|it| it.urgency < replica.urgency);
-            let turns = 1 + earlier.count() as u64 / weights.loads_once.max(1);
-            if self.now.since(self.last_read) >= (POLL_MS * turns).min(POLL_LIMIT_MS) {
-                self.read_now = true;
+        if permits_row.waiters.iter().any(|waiter| waiter.order == replica.order) {
+            let earlier = permits_row.waiters.iter().filter(|it| it.urgency < replica.urgency);
+            let turns = 1 + earlier.count() as u64 / permits_row.loads_once.max(1);
+            if self.now.since(self.last_read) >= (POLL_MS * turns).min(POLL_MAX_MS) {
+                self.read_requested = true;
             }
             return false;
         }
         let endpoint = self.profile.endpoint.clone();
         let (order, urgency) = (replica.order, replica.urgency);
-        weights.waiters.push(Waiter { endpoint, order, urgency, passed: 0 });
+        permits_row.waiters.push(Waiter { endpoint, order, urgency, passed: 0 });
         let mut txn = Txn::default();
-        txn.put(WEIGHTS, self.weights.version, Some(weights.encode_to_vec()));
+        txn.put(WEIGHTS, self.permits_row.version, Some(permits_row.encode_to_vec()));
         self.commit(txn, out);
         true
     }
 
-    /// Drops permits and waiters whose holder's ledger no longer has them; `false` while the
-    /// ledgers are being read.
+    /// Drops permits and waiters whose load is no longer in their holder's ledger; returns `false`
+    /// while the ledgers are being read.
     ///
-    /// A holder that died gives nothing back. Its instance's successor, or the entry that cleans up
-    /// after a gone instance, moves its ledger on, and then the permit has no load behind it. The
-    /// check of the holder's row in the same transaction keeps a load that has just begun safe.
-    fn drop_stale(
+    /// A holder that died releases nothing. Its successor, or the entry that cleans up after a
+    /// removed instance, changes its ledger, and the permit then belongs to no load. The version of
+    /// the holder's row is checked in the same transaction, which protects a load that has just
+    /// begun.
+    fn drop_stale_permits(
         &mut self,
-        weights: &mut WeightsRow,
+        permits_row: &mut WeightsRow,
         txn: &mut Txn,
         out: &mut Vec<SideEffect>,
     ) -> bool {
         let own = self.profile.endpoint.clone();
-        let others = weights.permits.iter().map(|it| &it.endpoint);
-        let others = others.chain(weights.waiters.iter().map(|it| &it.endpoint));
+        let others = permits_row.permits.iter().map(|it| &it.endpoint);
+        let others = others.chain(permits_row.waiters.iter().map(|it| &it.endpoint));
         let mut names = others.filter(|name| **name != own).cloned().collect::<Vec<_>>();
         names.sort_unstable();
         names.dedup();
@@ -136,11 +141,11 @@
             self.read(missing, out);
             return false;
         }
-        let before = (weights.permits.len(), weights.waiters.len());
-        let mine = self.ledger();
+        let before = (permits_row.permits.len(), permits_row.waiters.len());
+        let own_row = self.ledger();
         let live = |endpoint: &str, order: u64, loading: bool| {
             let row = if endpoint == own {
-                Some(EndpointRow::clone(&mine))
+                Some(EndpointRow::clone(&own_row))
             } else {
                 let held = self.cached(&endpoint_key(endpoint));
                 held.and_then(|row| decode::<EndpointRow>(&row.body))
@@ -152,45 +157,47 @@
                 Phase::Ready | Phase::Unloading => false,
             })
         };
-        weights.permits.retain(|it| live(&it.endpoint, it.order, true));
-        weights.waiters.retain(|it| live(&it.endpoint, it.order, false));
-        if before != (weights.permits.len(), weights.waiters.len()) {
+        permits_row.permits.retain(|it| live(&it.endpoint, it.order, true));
+        permits_row.waiters.retain(|it| live(&it.endpoint, it.order, false));
+        if before != (permits_row.permits.len(), permits_row.waiters.len()) {
             for key in &keys {
                 txn.check(key.clone(), self.cache[key].0.version);
             }
             out.push(SideEffect::Log(LogEvent::new("stale_permits_dropped")));
         }
-        // The next look reads the ledgers afresh.
+        // The next check must read the ledgers again.
         keys.iter().for_each(|key| drop(self.cache.remove(key)));
-        self.weights_since = self.now;
+        self.permits_changed = self.now;
         true
     }
 
-    /// Gives back the permits of loads that have ended and were held long enough.
-    pub(super) fn drop_permits(&self, next: &EndpointRow, txn: &mut Txn) {
+    /// Adds the release of permits that are no longer needed and were held long enough to `txn`.
+    pub(super) fn add_permit_release(&self, next: &EndpointRow, txn: &mut Txn) {
         let own = &self.profile.endpoint;
-        let Some(row) = &self.weights.row else { return };
+        let Some(row) = &self.permits_row.row else { return };
         let permits = row.permits.iter().any(|it| it.endpoint == *own);
         if !permits && !row.waiters.iter().any(|it| it.endpoint == *own) {
             return;
         }
-        let mut weights = row.clone();
-        let before = weights.permits.len() + weights.waiters.len();
+        let mut permits_row = row.clone();
+        let before = permits_row.permits.len() + permits_row.waiters.len();
         let phase = |order: u64| {
             next.replicas.iter().find(|replica| replica.order == order).map(Replica::phase)
         };
-        let hold_ms = weights.loads_once * 1000 / weights.loads_second.max(1);
-        weights.permits.retain(|it| {
+        let hold_ms = permits_row.loads_once * 1000 / permits_row.loads_second.max(1);
+        permits_row.permits.retain(|it| {
             let loading = phase(it.order) == Some(Phase::Loading);
             it.endpoint != *own || loading || !self.held_for(it.order, hold_ms)
         });
-        weights.waiters.retain(|it| it.endpoint != *own || phase(it.order) == Some(Phase::Wanted));
-        if weights.permits.len() + weights.waiters.len() != before {
-            txn.put(WEIGHTS, self.weights.version, Some(weights.encode_to_vec()));
+        permits_row
+            .waiters
+            .retain(|it| it.endpoint != *own || phase(it.order) == Some(Phase::Wanted));
+        if permits_row.permits.len() + permits_row.waiters.len() != before {
+            txn.put(WEIGHTS, self.permits_row.version, Some(permits_row.encode_to_vec()));
         }
     }
 
-    /// Whether this process has seen the permit for at least `hold_ms`.
+    /// Returns whether this process has seen the permit for at least `hold_ms`.
     fn held_for(&self, order: u64, hold_ms: u64) -> bool {
         self.permit_seen(order).is_some_and(|since| self.now.since(since) >= hold_ms)
     }
@@ -199,9 +206,9 @@
         self.permits_seen.get(&order).copied()
     }
 
-    /// Notes when each own permit was first seen.
-    pub(super) fn note_permits(&mut self) {
-        let permits = self.weights.row.iter().flat_map(|row| &row.permits);
+    /// Records when each permit of this endpoint was first seen.
+    pub(super) fn record_own_permits(&mut self) {
+        let permits = self.permits_row.row.iter().flat_map(|row| &row.permits);
         let own = permits.filter(|it| it.endpoint == self.profile.endpoint);
         let orders = own.map(|it| it.order).collect::<Vec<_>>();
         self.permits_seen.retain(|order, _| orders.contains(order));
@@ -210,11 +217,11 @@
         }
     }
 
-    /// Gives back permits whose load ended before they had been held long enough.
+    /// Releases permits whose minimum holding time passed only after their load had ended.
     pub(super) fn release_permits(&mut self, row: &EndpointRow, out: &mut Vec<SideEffect>) -> bool {
-        self.note_permits();
+        self.record_own_permits();
         let mut txn = Txn::default();
-        self.drop_permits(row, &mut txn);
+        self.add_permit_release(row, &mut txn);
         if txn.writes.is_empty() {
             return false;
         }
--- a/crates/decide/src/side/reconcile.rs
+++ b/crates/decide/src/side/reconcile.rs
@@ -1,4 +1,4 @@
-//! Taking an endpoint over from a predecessor, and bringing the engine in line with the ledger.
+//! Takeover of an endpoint from a predecessor, and reconciliation of the engine with the ledger.
 
 use citronrill_base::Txn;
 use prost::Message;
@@ -9,21 +9,22 @@
     rows::{EndpointRow, Phase, Replica, endpoint_key},
 };
 
-/// An order without an answer is looked into after its expected time, this many times over.
-const ORDER_PATIENCE: u64 = 5;
-/// And at least after this time, in milliseconds.
-const ORDER_PATIENCE_MS: u64 = 10_000;
-/// Ids of orders that no decision asked for have this bit, so that they meet no decided one.
-const UNDECIDED: u64 = 1 << 63;
+/// An order without an answer times out after its expected time multiplied by this factor.
+const ORDER_TIMEOUT_FACTOR: u64 = 5;
+/// Minimum timeout of an order, in milliseconds.
+const MIN_ORDER_TIMEOUT_MS: u64 = 10_000;
+/// Bit set in the ids of orders that no ledger decision asked for, so that they never collide with
+/// the id of a decision.
+const UNDECIDED_ORDER_BIT: u64 = 1 << 63;
 
 impl Side {
-    /// Claims the endpoint once both its row and its engine have been read.
+    /// Claims the endpoint once both its row and the engine's list have been read.
     ///
-    /// The epoch rises with every side process; it is the fencing number of each order. The row's
-    /// row's version takes part in it, so that it rises over a removal of the row too: an engine that
-    /// has seen a higher number would refuse every order of the successor. The row's
-    /// replicas are kept as they are: a predecessor that died in the middle of a load leaves its
-    /// memory reserved, and what the engine really holds decides what is adopted.
+    /// The epoch increases with every side process and is the fencing number of each order. It is
+    /// derived from the row's version too, so that it also increases across a removal of the row:
+    /// an engine that has seen a higher number would refuse every order of the successor. The row's
+    /// replicas are kept: the memory of a load that the predecessor did not finish stays reserved,
+    /// and the engine's list determines which replicas are adopted.
     pub(super) fn take_over(&mut self, out: &mut Vec<SideEffect>) {
         if !self.row_known || self.engine.is_none() || self.txn.is_some() {
             return;
@@ -43,22 +44,23 @@
         self.commit(txn, out);
     }
 
-    /// The claim has been confirmed.
-    pub(super) fn own(&mut self, out: &mut Vec<SideEffect>) {
+    /// Starts to serve after the claim was committed.
+    pub(super) fn claim_confirmed(&mut self, out: &mut Vec<SideEffect>) {
         self.mode = Mode::Serving;
-        self.owned = self.now;
-        // The predecessor may have ordered something after the engine was asked: ask again.
-        self.order_done = self.now;
+        self.owned_since = self.now;
+        // The predecessor may have sent an order after the engine's list was requested: request it
+        // anew.
+        self.last_order_end = self.now;
         out.push(SideEffect::Log(LogEvent::new("owned").with("epoch", self.epoch)));
     }
 
-    /// Gives the engine the orders that the ledger asks for.
+    /// Sends the engine the orders that the ledger requires.
     pub(super) fn order_engine(&mut self, out: &mut Vec<SideEffect>) {
-        self.forget_lost_orders();
-        if !self.may_order() {
+        self.time_out_orders();
+        if !self.can_order() {
             return;
         }
-        if self.verified.is_none_or(|asked| self.now.since(asked) > VERIFY_MS) {
+        if self.verified_at.is_none_or(|asked_at| self.now.since(asked_at) > VERIFY_MS) {
             self.verify_for_orders();
             return;
         }
@@ -73,70 +75,71 @@
         }
     }
 
-    /// Whether the engine's list is newer than the last order's end, and no own transaction is on its
-    /// way or in doubt: it may take out of the ledger what an order would load.
-    fn may_order(&self) -> bool {
+    /// Returns whether orders may be sent: the engine's list must be newer than the end of the last
+    /// order, and no transaction may be in flight or in doubt, since it may remove from the ledger
+    /// what an order would load.
+    fn can_order(&self) -> bool {
         let settled = self.txn.is_none() && !self.in_doubt;
-        settled && self.engine.is_some() && self.listed > self.order_done
+        settled && self.engine.is_some() && self.list_time > self.last_order_end
     }
 
-    /// Has the own row read again if there is an order to give.
+    /// Requests a read of the side's row if there is an order to send.
     fn verify_for_orders(&mut self) {
         let row = self.ledger();
-        let moving = row.replicas.iter().any(|replica| {
-            let waits = matches!(replica.phase(), Phase::Loading | Phase::Unloading);
-            waits && !self.in_order(&replica.model)
+        let order_due = row.replicas.iter().any(|replica| {
+            let transitional = matches!(replica.phase(), Phase::Loading | Phase::Unloading);
+            transitional && !self.order_pending(&replica.model)
         });
         let undecided = self.engine.iter().flat_map(|report| &report.held);
         let undecided = undecided.filter(|held| row.replica(&held.model).is_none()).count();
-        if moving || undecided > 0 {
-            self.read_now = true;
+        if order_due || undecided > 0 {
+            self.read_requested = true;
         }
     }
 
-    fn forget_lost_orders(&mut self) {
+    fn time_out_orders(&mut self) {
         let row = self.ledger();
         let now = self.now;
         self.orders.retain(|id, order| {
             let replica = row.replicas.iter().find(|replica| replica.order == *id);
             let expected = replica.map_or(0, |replica| replica.load_ms);
-            now.since(order.since) < (expected * ORDER_PATIENCE).max(ORDER_PATIENCE_MS)
+            now.since(order.sent_at) < (expected * ORDER_TIMEOUT_FACTOR).max(MIN_ORDER_TIMEOUT_MS)
         });
     }
 
-    pub(super) fn in_order(&self, model: &str) -> bool {
+    pub(super) fn order_pending(&self, model: &str) -> bool {
         self.orders.values().any(|order| order.model == model)
     }
 
-    /// Unloads what the engine holds although nobody decided it.
+    /// Unloads models that the engine holds but the ledger does not have.
     ///
-    /// This meets a predecessor's order that reached the engine late: the ledger does not have the
-    /// replica, so its memory is counted nowhere and must be freed before anything is loaded.
+    /// Such a model comes from a predecessor's order that reached the engine late. Its memory is
+    /// not counted in the ledger and must be freed before anything is loaded.
     fn unload_undecided(&mut self, row: &EndpointRow, out: &mut Vec<SideEffect>) {
         let held = self.engine.iter().flat_map(|report| report.held.clone()).collect::<Vec<_>>();
         for held in held {
-            if row.replica(&held.model).is_none() && !self.in_order(&held.model) {
-                let id = UNDECIDED | citronrill_base::hash_bytes(held.model.as_bytes());
+            if row.replica(&held.model).is_none() && !self.order_pending(&held.model) {
+                let id = UNDECIDED_ORDER_BIT | citronrill_base::hash_bytes(held.model.as_bytes());
                 out.push(SideEffect::Log(
                     LogEvent::new("unload_undecided").with("model", &held.model),
                 ));
-                self.give_unload(id, held.model, out);
+                self.send_unload(id, held.model, out);
             }
         }
     }
 
     fn order_load(&mut self, row: &EndpointRow, replica: &Replica, out: &mut Vec<SideEffect>) {
         let model = &replica.model;
-        let known = self.engine_has(model, false) || self.failed.contains(model);
-        let fenced = self.profile.fencing || self.quiet_since_takeover();
-        if known || self.in_order(model) || !fenced {
+        let known = self.engine_has(model, false) || self.failed_loads.contains(model);
+        let fenced = self.profile.fencing || self.predecessor_orders_expired();
+        if known || self.order_pending(model) || !fenced {
             return;
         }
-        if !self.engine_room(row, replica) {
+        if !self.engine_has_room(row, replica) {
             return;
         }
         let id = replica.order;
-        self.orders.insert(id, Order { model: model.clone(), load: true, since: self.now });
+        self.orders.insert(id, Order { model: model.clone(), load: true, sent_at: self.now });
         out.push(SideEffect::Load {
             order: id,
             model: model.clone(),
@@ -147,20 +150,20 @@
         });
     }
 
-    /// Whether no order of a predecessor can reach the engine any more.
+    /// Returns whether no order of a predecessor can reach the engine any more.
     ///
-    /// Until then nothing is loaded on an engine that does not check fencing numbers, and nothing is
-    /// taken out of the ledger on any: one that checks them knows the new number only from the first
-    /// order that carries it.
-    pub(super) fn quiet_since_takeover(&self) -> bool {
-        self.epoch == 1 || self.now.since(self.owned) >= ORDER_TTL_MS
+    /// Before that, an engine that does not check fencing numbers gets no load order, and no
+    /// replica is removed from the ledger for any engine: one that checks them learns the new
+    /// number only from the first order that carries it.
+    pub(super) fn predecessor_orders_expired(&self) -> bool {
+        self.epoch == 1 || self.now.since(self.owned_since) >= ORDER_TTL_MS
     }
 
-    /// Whether the engine itself has room for the load's peak.
+    /// Returns whether the engine has room for the peak memory of the load.
     ///
-    /// The ledger alone would do if engines held only what it says. One that ignores fencing
-    /// numbers may hold more for a while, so its own list is counted too: whichever is larger.
-    fn engine_room(&self, row: &EndpointRow, replica: &Replica) -> bool {
+    /// An engine that ignores fencing numbers may temporarily hold more than the ledger says, so
+    /// each model counts with the larger of its values in the ledger and in the engine's list.
+    fn engine_has_room(&self, row: &EndpointRow, replica: &Replica) -> bool {
         let mut total = replica.held_mb();
         for other in row.replicas.iter().filter(|other| other.model != replica.model) {
             total += other.held_mb();
@@ -176,14 +179,14 @@
         let model = &replica.model;
         let has_adapters = row.replicas.iter().any(|other| other.base == *model);
         let used = self.calls.running_model(model) > 0;
-        if has_adapters || used || self.in_order(model) || !self.engine_has(model, false) {
+        if has_adapters || used || self.order_pending(model) || !self.engine_has(model, false) {
             return;
         }
-        self.give_unload(replica.order, model.clone(), out);
+        self.send_unload(replica.order, model.clone(), out);
     }
 
-    fn give_unload(&mut self, order: u64, model: String, out: &mut Vec<SideEffect>) {
-        self.orders.insert(order, Order { model: model.clone(), load: false, since: self.now });
+    fn send_unload(&mut self, order: u64, model: String, out: &mut Vec<SideEffect>) {
+        self.orders.insert(order, Order { model: model.clone(), load: false, sent_at: self.now });
         out.push(SideEffect::Unload { order, model, fence: self.epoch });
     }
 }
--- a/crates/decide/src/side/state.rs
+++ b/crates/decide/src/side/state.rs
@@ -1,45 +1,45 @@
-//! What others may ask of the side's reducer: for dumps, tests and the lab.
+//! Accessors of the side's reducer, for dumps, tests and the lab.
 
 use super::{Mode, Side};
 use crate::rows::EndpointRow;
 
 impl Side {
-    /// The session that callers must name.
+    /// Returns the session number that a call must carry to be accepted.
     pub fn session(&self) -> u64 {
         self.profile.session
     }
 
-    /// The version of the text that the table last showed.
+    /// Returns the configuration version last read from the table.
     pub fn config_version(&self) -> u64 {
         self.head.row.as_ref().map_or(0, |head| head.version)
     }
 
-    /// Whether the endpoint's row is owned and the process serves.
+    /// Returns whether the process owns the endpoint and is serving.
     pub fn serving(&self) -> bool {
         self.mode == Mode::Serving
     }
 
-    /// Calls that run now.
+    /// Returns the number of running calls.
     pub fn running(&self) -> u64 {
         self.calls.running()
     }
 
-    /// Records of calls that are kept.
+    /// Returns the number of call records.
     pub fn call_records(&self) -> usize {
         self.calls.records()
     }
 
-    /// The fencing number; 0 before the endpoint is owned.
+    /// Returns the fencing number; 0 before the endpoint is claimed.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The endpoint's row as last read or written.
+    /// Returns the endpoint's row as last read or written.
     pub fn endpoint_row(&self) -> Option<&EndpointRow> {
         self.row.row.as_ref()
     }
 
-    /// The mode in a word, for dumps.
+    /// Returns the name of the mode, for dumps.
     pub fn mode_word(&self) -> &'static str {
         match self.mode {
             Mode::Starting => "starting",
--- a/crates/decide/src/side/types.rs
+++ b/crates/decide/src/side/types.rs
@@ -1,4 +1,4 @@
-//! Events, effects and small types of the side's reducer.
+//! Events, effects and data types of the side's reducer.
 
 use citronrill_base::{Outcome, Row, Txn};
 
@@ -8,103 +8,104 @@
     rows::Cached,
 };
 
-/// What a side process knows of itself from its settings.
+/// Identity and capacity of a side process, from its settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SideProfile {
     /// The endpoint's name.
     pub endpoint: String,
-    /// The platform's name of the instance.
+    /// Name of the instance on the platform.
     pub instance: String,
-    /// Where entries reach the process.
+    /// Address at which entries reach the process.
     pub address: String,
     /// The availability zone.
     pub zone: String,
     /// Accelerator memory, in MB; 0 for a plain endpoint.
     pub memory_mb: u64,
-    /// Requests run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// Whether the engine refuses an order with an old fencing number.
+    /// Whether the engine refuses an order with an outdated fencing number.
     pub fencing: bool,
-    /// Drawn at the start of the process.
+    /// Random number drawn when the process starts.
     pub session: u64,
 }
 
-/// One model that an engine holds.
+/// A model that an engine has in accelerator memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldModel {
     /// The model's name.
     pub model: String,
-    /// Whether it serves; else it is still loading.
+    /// Whether the model is ready; otherwise it is still loading.
     pub ready: bool,
-    /// Memory it takes now, in MB.
+    /// Memory currently in use, in MB.
     pub memory_mb: u64,
 }
 
-/// What an engine says of itself.
+/// State reported by an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EngineReport {
-    /// What it holds.
+    /// Models in accelerator memory, loading ones included.
     pub held: Vec<HeldModel>,
-    /// What it has cached.
+    /// Cached weights.
     pub cached: Vec<Cached>,
 }
 
-/// What a side's reducer is told.
+/// Input of a side's reducer.
 #[derive(Debug, Clone)]
 pub enum SideEvent {
-    /// Time has passed; several times a second.
+    /// Time has passed; sent several times a second.
     Tick,
-    /// What a read gave; rows that do not exist are among them.
+    /// Result of a read; rows that do not exist are included, without a body.
     Rows(u64, Vec<Row>),
-    /// A read did not answer.
+    /// A read failed or timed out.
     ReadFailed(u64),
-    /// What became of a transaction.
+    /// Outcome of a transaction.
     Committed(u64, Outcome),
-    /// What the engine holds; `None` if it did not answer.
+    /// The engine's list of models; `None` if it did not answer.
     Engine(Option<EngineReport>),
-    /// An order was carried out or refused.
+    /// The engine executed or refused an order.
     OrderDone {
         /// The order's id.
         order: u64,
-        /// Whether the engine did it.
+        /// Whether the engine executed it.
         done: bool,
     },
-    /// An order's connection was lost; the engine may carry it out or not.
+    /// The connection of an order was lost; the engine may or may not execute the order.
     OrderLost(u64),
-    /// A call is offered.
+    /// An entry offers a call.
     Offer(Offer),
-    /// A call is to be cancelled.
+    /// An entry cancels a call.
     Cancel {
-        /// Which.
+        /// The call.
         id: CallId,
-        /// The side process that was sent the call.
+        /// The session of the side process to which the call was sent.
         session: u64,
-        /// When it expires on this process's clock.
+        /// When the call expires, on this process's clock.
         expires: u64,
     },
-    /// A call has ended at the engine.
+    /// The engine has finished a call.
     Ended(CallId),
-    /// An entry says that the own row changed, and where the side's answer is awaited.
+    /// An entry reports that it changed the side's row, with the address for the side's new row.
     Poke(String),
-    /// Stop: finish what runs and take nothing new.
+    /// Drain: finish running calls and accept no new ones.
     Drain {
-        /// Whether the endpoint goes too, so that its replicas are given back.
+        /// Whether the endpoint is removed as well, so that its replicas are unloaded and their
+        /// shares released.
         give_back: bool,
     },
 }
 
-/// What a side's reducer wants done.
+/// Action requested by a side's reducer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SideEffect {
-    /// Read rows, under an id that the answer names.
+    /// Read rows; the answer carries the same id.
     Read(u64, Vec<String>),
     /// Commit a transaction.
     Commit(u64, Txn),
-    /// Ask the engine what it holds.
+    /// Ask the engine for its list of models.
     ListEngine,
     /// Order the engine to load.
     Load {
-        /// The order's id; safe to give twice.
+        /// The order's id; the order is idempotent under it.
         order: u64,
         /// The model's name.
         model: String,
@@ -128,20 +129,20 @@
     },
     /// Run an offered call.
     Run(CallId),
-    /// Attach the sender to a call that runs or has run.
+    /// Attach the sender to a call that is running or has run.
     Attach(CallId),
-    /// Tell the sender that a call will not run.
+    /// Report to the sender that a call will not run.
     Decline(CallId, Decline),
-    /// Stop a call at the engine.
+    /// Abort a call at the engine.
     Stop(CallId),
     /// Answer a cancellation.
     Cancelled(CallId, CancelAnswer),
-    /// Hand the own row on to an entry that waits for it.
+    /// Send the side's row to an entry at an address.
     Announce(String, Row),
     /// Write a line to the log.
     Log(LogEvent),
-    /// A successor owns the endpoint: stop the process.
+    /// A successor owns the endpoint; stop the process.
     Superseded,
-    /// All is given back: stop the process.
+    /// The drain is complete; stop the process.
     Drained,
 }
--- a/crates/decide/src/view.rs
+++ b/crates/decide/src/view.rs
@@ -1,7 +1,7 @@
-//! What one entry knows of the platform's table.
+//! An entry's view of the platform table.
 //!
-//! The view lags; every decision made from it checks the versions it was made from, so that a
-//! stale view costs a conflict and never a wrong write.
+//! The view lags behind the table. Every decision based on it checks the row versions that it
+//! used, so a stale view causes a conflict but never a wrong write.
 
 use std::collections::BTreeMap;
 
@@ -14,82 +14,82 @@
     WeightsRow, decode, row_kind,
 };
 
-/// A row and the version under which it was read.
+/// A row and the version at which it was read.
 #[derive(Debug, Clone, Default)]
-pub struct Held<R> {
+pub struct Versioned<R> {
     /// The table's commit sequence at the row's last write; 0 if it was never written.
     pub version: u64,
     /// The row, if there is one.
     pub row: Option<R>,
 }
 
-/// What a row's arrival changed.
+/// Change that a row made to the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// An endpoint and the models whose replicas there changed.
+    /// An endpoint changed, with the models whose replicas there may have changed.
     Endpoint(EndpointKey, Vec<ModelKey>),
-    /// A model's row.
+    /// A model's row changed.
     Model(ModelKey),
-    /// The members.
+    /// The member list changed.
     Members,
-    /// The version in force.
+    /// The current configuration version changed.
     Head(HeadRow),
-    /// What a version changed.
+    /// The changes of a configuration version arrived.
     Delta(DeltaRow),
-    /// Something that nobody waits for.
+    /// Another row changed, which needs no reaction.
     Other,
 }
 
-/// The rows of the feed, by key.
+/// The rows received from the table, by key.
 #[derive(Debug, Default)]
 pub struct View {
-    /// The names of this process.
+    /// Interned names of this process.
     pub registry: Registry,
     /// The highest commit sequence seen.
     pub sequence: u64,
     /// The weight store's permits.
-    pub weights: Held<WeightsRow>,
-    /// The version in force.
-    pub head: Held<HeadRow>,
-    endpoints: Map<EndpointKey, Held<EndpointRow>>,
-    caches: Map<EndpointKey, Held<CacheRow>>,
-    models: Map<ModelKey, Held<ModelRow>>,
-    shares: Map<(OrgKey, u32), Held<ShareRow>>,
-    members: BTreeMap<String, Held<MemberRow>>,
+    pub weights: Versioned<WeightsRow>,
+    /// The current configuration version.
+    pub head: Versioned<HeadRow>,
+    endpoints: Map<EndpointKey, Versioned<EndpointRow>>,
+    caches: Map<EndpointKey, Versioned<CacheRow>>,
+    models: Map<ModelKey, Versioned<ModelRow>>,
+    shares: Map<(OrgKey, u32), Versioned<ShareRow>>,
+    members: BTreeMap<String, Versioned<MemberRow>>,
     deltas: Map<String, u64>,
     replicas: Map<ModelKey, Vec<EndpointKey>>,
 }
 
 impl View {
-    /// Takes in a row, unless the view has it already or has a later one.
+    /// Applies a row, unless the view has the same or a later version, and returns the change.
     ///
-    /// Versions never go down: a late or repeated answer of the table, a peer that lags or a feed
-    /// that crosses a fresh read would else bring back what was already replaced.
+    /// Versions never decrease: otherwise a late or repeated answer of the table, a lagging peer or
+    /// feed data that overlaps with a newer read would restore a replaced row.
     pub fn absorb(&mut self, row: &Row) -> Option<Change> {
         self.sequence = self.sequence.max(row.version);
         match row_kind(&row.key) {
             RowKind::Endpoint(name) => self.absorb_endpoint(name, row),
             RowKind::Model(name) => {
                 let key = self.registry.models.intern(name);
-                take(self.models.entry(key).or_default(), row).then_some(Change::Model(key))
+                update(self.models.entry(key).or_default(), row).then_some(Change::Model(key))
             }
             RowKind::Share(org, part) => {
                 let org = self.registry.organisations.intern(org);
-                let held = self.shares.entry((org, part)).or_default();
-                take(held, row).then_some(Change::Other)
+                let versioned = self.shares.entry((org, part)).or_default();
+                update(versioned, row).then_some(Change::Other)
             }
             RowKind::Member(name) => {
-                let held = self.members.entry(name.to_owned()).or_default();
-                take(held, row).then_some(Change::Members)
+                let versioned = self.members.entry(name.to_owned()).or_default();
+                update(versioned, row).then_some(Change::Members)
             }
             RowKind::Cache(name) => {
                 let key = self.registry.endpoints.intern(name);
-                take(self.caches.entry(key).or_default(), row).then_some(Change::Other)
+                update(self.caches.entry(key).or_default(), row).then_some(Change::Other)
             }
-            RowKind::Weights => take(&mut self.weights, row).then_some(Change::Other),
+            RowKind::Weights => update(&mut self.weights, row).then_some(Change::Other),
             RowKind::Head => {
-                let taken = take(&mut self.head, row);
-                self.head.row.clone().filter(|_| taken).map(Change::Head)
+                let updated = update(&mut self.head, row);
+                self.head.row.clone().filter(|_| updated).map(Change::Head)
             }
             RowKind::Delta => self.absorb_delta(row),
             RowKind::Other => None,
@@ -107,73 +107,76 @@
 
     fn absorb_endpoint(&mut self, name: &str, row: &Row) -> Option<Change> {
         let key = self.registry.endpoints.intern(name);
-        let held = self.endpoints.entry(key).or_default();
-        let before = held.row.clone();
-        if !take(held, row) {
+        let versioned = self.endpoints.entry(key).or_default();
+        let before = versioned.row.clone();
+        if !update(versioned, row) {
             return None;
         }
-        let after = held.row.clone();
-        let mut touched = Vec::new();
+        let after = versioned.row.clone();
+        let mut changed = Vec::new();
         for replica in before.iter().flat_map(|row| &row.replicas) {
             let model = self.registry.models.intern(&replica.model);
             let holders = self.replicas.entry(model).or_default();
             holders.retain(|holder| *holder != key);
-            touched.push(model);
+            changed.push(model);
         }
         for replica in after.iter().flat_map(|row| &row.replicas) {
             let model = self.registry.models.intern(&replica.model);
             self.replicas.entry(model).or_default().push(key);
-            if !touched.contains(&model) {
-                touched.push(model);
+            if !changed.contains(&model) {
+                changed.push(model);
             }
         }
         self.replicas.retain(|_, holders| !holders.is_empty());
-        Some(Change::Endpoint(key, touched))
+        Some(Change::Endpoint(key, changed))
     }
 
-    /// An endpoint's row.
+    /// Returns an endpoint's row.
     pub fn endpoint(&self, key: EndpointKey) -> Option<&EndpointRow> {
         self.endpoints.get(&key)?.row.as_ref()
     }
 
-    /// The fastest tier from which an endpoint can load a model.
+    /// Returns the fastest tier from which an endpoint can load a model.
     pub fn tier(&self, endpoint: EndpointKey, model: &str) -> Tier {
-        let row = self.caches.get(&endpoint).and_then(|held| held.row.as_ref());
+        let row = self.caches.get(&endpoint).and_then(|versioned| versioned.row.as_ref());
         let cached = row.and_then(|row| row.cached.iter().find(|it| it.model == model));
         cached.map_or(Tier::Remote, |it| it.tier())
     }
 
-    /// The version of an endpoint's cache row; `None` if there is no such row.
+    /// Returns the version of an endpoint's cache row; `None` if there is no such row.
     pub fn cache_version(&self, endpoint: EndpointKey) -> Option<u64> {
-        self.caches.get(&endpoint).filter(|held| held.row.is_some()).map(|held| held.version)
+        self.caches
+            .get(&endpoint)
+            .filter(|versioned| versioned.row.is_some())
+            .map(|versioned| versioned.version)
     }
 
-    /// The version of an endpoint's row.
+    /// Returns the version of an endpoint's row; 0 if it was never written.
     pub fn endpoint_version(&self, key: EndpointKey) -> u64 {
-        self.endpoints.get(&key).map_or(0, |held| held.version)
+        self.endpoints.get(&key).map_or(0, |versioned| versioned.version)
     }
 
-    /// All endpoints with a row.
+    /// Returns all endpoints that have a row.
     pub fn endpoints(&self) -> impl Iterator<Item = (EndpointKey, &EndpointRow)> {
-        self.endpoints.iter().filter_map(|(key, held)| Some((*key, held.row.as_ref()?)))
+        self.endpoints.iter().filter_map(|(key, versioned)| Some((*key, versioned.row.as_ref()?)))
     }
 
-    /// A model's row; the empty row if there is none.
-    pub fn model(&self, key: ModelKey) -> Held<ModelRow> {
+    /// Returns a model's row with its version; an empty value if there is none.
+    pub fn model(&self, key: ModelKey) -> Versioned<ModelRow> {
         self.models.get(&key).cloned().unwrap_or_default()
     }
 
-    /// A model's row by reference.
+    /// Returns a model's row by reference.
     pub fn model_row(&self, key: ModelKey) -> Option<&ModelRow> {
         self.models.get(&key)?.row.as_ref()
     }
 
-    /// A part of an organisation's share; the empty row if there is none.
-    pub fn share(&self, org: OrgKey, part: u32) -> Held<ShareRow> {
+    /// Returns a part of an organisation's share with its version; an empty value if there is none.
+    pub fn share(&self, org: OrgKey, part: u32) -> Versioned<ShareRow> {
         self.shares.get(&(org, part)).cloned().unwrap_or_default()
     }
 
-    /// Endpoints whose ledger has a replica of `model`, with the replica's phase.
+    /// Returns the endpoints whose ledger has a replica of `model`, with the replica's phase.
     pub fn replicas(&self, model: ModelKey) -> impl Iterator<Item = (EndpointKey, Phase)> + '_ {
         let name = self.registry.models.name(model);
         let holders = self.replicas.get(&model).map(Vec::as_slice).unwrap_or_default();
@@ -183,42 +186,44 @@
         })
     }
 
-    /// Models with at least one replica in some phase.
+    /// Returns the models that have a replica in any phase.
     pub fn warm_models(&self) -> impl Iterator<Item = ModelKey> + '_ {
         self.replicas.keys().copied()
     }
 
-    /// The entries.
+    /// Returns the entries in the member list.
     pub fn members(&self) -> impl Iterator<Item = (&str, &MemberRow)> {
-        self.members.iter().filter_map(|(name, held)| Some((name.as_str(), held.row.as_ref()?)))
+        self.members
+            .iter()
+            .filter_map(|(name, versioned)| Some((name.as_str(), versioned.row.as_ref()?)))
     }
 
-    /// One entry's row with its version.
-    pub fn member(&self, name: &str) -> Held<MemberRow> {
+    /// Returns an entry's row with its version.
+    pub fn member(&self, name: &str) -> Versioned<MemberRow> {
         self.members.get(name).cloned().unwrap_or_default()
     }
 
-    /// How many rows the view holds.
+    /// Returns the number of endpoint, model, share and member rows.
     pub fn len(&self) -> usize {
         self.endpoints.len() + self.models.len() + self.shares.len() + self.members.len()
     }
 
-    /// Whether the view holds no row.
+    /// Returns whether the view has no such row.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The endpoint's name.
+    /// Returns an endpoint's name.
     pub fn endpoint_name(&self, key: EndpointKey) -> &str {
         self.registry.endpoints.name(key)
     }
 }
 
-fn take<R: Message + Default>(held: &mut Held<R>, row: &Row) -> bool {
-    if row.version <= held.version {
+fn update<R: Message + Default>(versioned: &mut Versioned<R>, row: &Row) -> bool {
+    if row.version <= versioned.version {
         return false;
     }
-    held.version = row.version;
-    held.row = decode(&row.body);
+    versioned.version = row.version;
+    versioned.row = decode(&row.body);
     true
 }
--- a/crates/decide/tests/side.rs
+++ b/crates/decide/tests/side.rs
@@ -1,4 +1,4 @@
-//! Guards of the side's reducer, each with the failure it meets.
+//! Tests of the side's reducer, each with the failure that it guards against.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A side with its row in a little table of one row.
+/// A side with a table that stores only the side's row.
 struct Bench {
     side: Side,
     row: Row,
@@ -58,7 +58,7 @@
         out
     }
 
-    /// Carries out table and engine effects until nothing more comes of them.
+    /// Executes table and engine effects until none are left, and returns the other effects.
     fn settle(&mut self, engine: &EngineReport) -> Vec<SideEffect> {
         let mut orders = Vec::new();
         let mut effects = self.step(SideEvent::Tick);
@@ -97,12 +97,11 @@
     effects.iter().filter(|effect| matches!(effect, SideEffect::Load { .. })).count()
 }
 
-/// An operator sees a model loaded that nobody decided, and its accelerator overcommitted.
+/// Guards against a model that is loaded without a decision and overcommits the accelerator.
 ///
-/// A side is paused with a load to order. Meanwhile a successor takes the endpoint over. When the
-/// old side wakes up, the answer to a read that it made before the pause is waiting for it and
-/// still carries its own epoch; ordered on that word, the load would reach an engine that ignores
-/// fencing numbers.
+/// A side is paused before it sends a load order, and a successor takes over the endpoint. When the
+/// paused side resumes, it receives the answer to a read from before the pause, which still carries
+/// its own epoch. An order based on it would reach an engine that ignores fencing numbers.
 #[test]
 fn a_paused_side_gives_no_order_on_an_answer_from_before_the_pause() {
     let mut bench = Bench::new(false, None, 0);
@@ -112,17 +111,17 @@
     row.replicas.push(loading("m"));
     bench.row = Row { version: 50, body: Some(row.encode_to_vec()), ..bench.row.clone() };
     bench.now += 10_000;
-    let asked = bench.step(SideEvent::Poke("home".to_owned()));
-    let read = asked.iter().find_map(|effect| match effect {
+    let effects = bench.step(SideEvent::Poke("home".to_owned()));
+    let read = effects.iter().find_map(|effect| match effect {
         SideEffect::Read(id, _) => Some(*id),
         _ => None,
     });
     let before_pause = bench.row.clone();
     bench.now += VERIFY_MS + 60_000;
-    let woken = bench.step(SideEvent::Rows(read.unwrap(), vec![before_pause]));
+    let after_pause = bench.step(SideEvent::Rows(read.unwrap(), vec![before_pause]));
     let listed = bench.step(SideEvent::Engine(Some(EngineReport::default())));
-    assert_eq!(loads(&woken) + loads(&listed), 0);
-    // The read that it makes now shows the successor's epoch.
+    assert_eq!(loads(&after_pause) + loads(&listed), 0);
+    // The next read shows the successor's epoch.
     row.epoch = 2;
     bench.row = Row { version: 51, body: Some(row.encode_to_vec()), ..bench.row.clone() };
     bench.now += 4_000;
@@ -131,10 +130,10 @@
     assert!(after.contains(&SideEffect::Superseded), "{after:?}");
 }
 
-/// After a side's death in mid-load its successor must not load beside what the engine still loads.
+/// Guards against a successor that orders a load while its predecessor's load is still running.
 ///
-/// The engine does not check fencing numbers, so an order of the predecessor may still be on its way:
-/// the successor gives no load order until none can reach the engine any more.
+/// If the engine does not check fencing numbers, an order of the predecessor may still be in
+/// transit. The successor sends no load order until no such order can reach the engine any more.
 #[test]
 fn a_successor_waits_out_its_predecessors_orders() {
     let mut row = EndpointRow { epoch: 1, memory_mb: 100, ..EndpointRow::default() };
@@ -148,7 +147,7 @@
     }
 }
 
-/// A side that takes over adopts what was decided and is loaded, and unloads what was not decided.
+/// A side that takes over adopts the decided replicas that are loaded and unloads other models.
 #[test]
 fn a_successor_adopts_what_was_decided_and_unloads_the_rest() {
     let mut row = EndpointRow { epoch: 1, memory_mb: 100, ..EndpointRow::default() };
@@ -177,10 +176,10 @@
     }
 }
 
-/// A caller is told that its booking did not run, and the crew comes all the same.
+/// Guards against a call that runs although its caller was told that it did not.
 ///
-/// The call is delayed on its way. Its entry gives up and cancels it; the side has not seen it and
-/// promises that it will not run. Then the call comes.
+/// The call is delayed in transit, and its entry cancels it. The side has not received the call
+/// yet and confirms that it will not run. Then the call arrives.
 #[test]
 fn a_call_that_comes_after_its_cancellation_does_not_run() {
     let mut calls = Calls::default();
@@ -188,13 +187,14 @@
     assert_eq!(calls.cancel(Millis(100), late.id, late.expires), CancelAnswer::NotRun);
     let admission = calls.offer(Millis(200), 4, &late);
     assert_eq!(admission, Admission::Declined(Decline::Cancelled));
-    // When the record has gone, the call has expired.
+    // The call has expired by the time its record is removed.
     calls.expire(Millis(5_001));
     assert_eq!(calls.records(), 0);
     assert_eq!(calls.offer(Millis(5_002), 4, &late), Admission::Declined(Decline::Expired));
 }
 
-/// A full record of cancelled calls must not make a promise that it cannot keep.
+/// Guards against a confirmed cancellation that the side cannot record because its records are
+/// full: the call would run if it arrived later.
 #[test]
 fn a_full_record_promises_nothing() {
     let mut calls = Calls::with_limit(2);
@@ -206,19 +206,19 @@
     assert_eq!(calls.offer(Millis(1), 4, &offer(4, 900)), Admission::Declined(Decline::Busy));
 }
 
-/// A frame that comes twice must not run its call twice, nor after it has ended.
+/// A duplicate offer must not run a call twice, neither during the call nor after its end.
 #[test]
 fn a_call_offered_twice_runs_once() {
     let mut calls = Calls::default();
     let call = offer(1, 5_000);
     assert_eq!(calls.offer(Millis(1), 4, &call), Admission::Run);
-    assert_eq!(calls.offer(Millis(2), 4, &call), Admission::Known);
+    assert_eq!(calls.offer(Millis(2), 4, &call), Admission::Duplicate);
     calls.ended(Millis(3), call.id);
-    assert_eq!(calls.offer(Millis(4), 4, &call), Admission::Known);
+    assert_eq!(calls.offer(Millis(4), 4, &call), Admission::Duplicate);
     assert_eq!(calls.running(), 0);
 }
 
-/// One organisation's flood must leave slots to the others, and batch calls to urgent ones.
+/// Calls of one organisation must leave slots to the others, and batch calls to urgent ones.
 #[test]
 fn the_last_slots_go_to_others_and_to_urgent_calls() {
     let mut calls = Calls::default();
@@ -234,17 +234,18 @@
     assert_eq!(calls.offer(Millis(1), 8, &offer(13, 900)), Admission::Declined(Decline::Busy));
 }
 
-/// A model that serves must not be loaded a second time because its new side has not looked yet.
+/// Guards against a ready model that is loaded again because the successor's engine list is stale.
 ///
-/// A successor asks the engine what it holds, and waits for the table. Meanwhile its predecessor's
-/// load ends and the row says ready. Judged by the list from before, the model would be missing.
+/// A successor requests the engine's list before its claim is committed. Meanwhile the
+/// predecessor's load ends and the row says ready. According to the old list the model would be
+/// missing.
 #[test]
 fn a_successor_judges_by_a_list_from_after_its_claim() {
     let mut row = EndpointRow { epoch: 1, memory_mb: 100, ..EndpointRow::default() };
     row.replicas.push(Replica { phase: Phase::Ready.into(), ..loading("m") });
     let mut bench = Bench::new(true, Some(row), 3);
-    let asked = bench.step(SideEvent::Tick);
-    let read = asked.iter().find_map(|effect| match effect {
+    let effects = bench.step(SideEvent::Tick);
+    let read = effects.iter().find_map(|effect| match effect {
         SideEffect::Read(id, _) => Some(*id),
         _ => None,
     });
@@ -262,7 +263,7 @@
     bench.row = Row { version: 4, body: txn.writes[0].body.clone(), ..bench.row.clone() };
     bench.now += 5;
     let owned = bench.step(SideEvent::Committed(id, Outcome::Committed(4)));
-    // An answer that was asked for before the claim comes only now.
+    // The answer to a list request from before the claim arrives late.
     bench.now += 5;
     let late = bench.step(SideEvent::Engine(Some(EngineReport::default())));
     let commits = |effects: &[SideEffect]| {
@@ -272,10 +273,10 @@
     assert!(late.contains(&SideEffect::ListEngine), "{late:?}");
 }
 
-/// An accelerator must not be overcommitted by a model that nobody decided.
+/// Guards against an accelerator that is overcommitted by a model that the ledger does not have.
 ///
-/// An order of a predecessor came late, and the engine holds a model that the ledger does not have.
-/// The ledger alone has room for another load; the engine has not, until the stray model is gone.
+/// A predecessor's order arrived late, and the engine holds a model that was not decided. The
+/// ledger has room for another load, but the engine has none until that model is unloaded.
 #[test]
 fn a_load_waits_for_memory_that_an_undecided_model_takes() {
     let mut row = EndpointRow { epoch: 1, memory_mb: 100, ..EndpointRow::default() };
@@ -295,10 +296,10 @@
     assert_eq!(loads(&bench.settle(&EngineReport::default())), 1);
 }
 
-/// A refusal must not say "not run" on the word of a side that cannot know.
+/// Guards against a cancellation answered as "not run" by a side that cannot know.
 ///
-/// The side that was sent the call is replaced. Its successor has never seen the call, which says
-/// nothing of whether the predecessor ran it.
+/// The side to which the call was sent is replaced. That its successor has never received the call
+/// does not show whether the predecessor ran it.
 #[test]
 fn a_successor_knows_nothing_of_its_predecessors_calls() {
     let mut bench = Bench::new(true, None, 0);
