--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,11 +1,12 @@
-//! Routing, waiting and placement over a pool of endpoints, as pure reducers.
+//! Routing, queueing and model placement over a pool of endpoints, as pure reducers.
 //!
-//! [`PoolEntry`] decides for callers' requests: route, endpoint, wait, refuse, try again, ask for a
-//! model. [`PoolSide`] decides for one endpoint: which order to give next. Both take events and give
-//! effects; they read no clock and draw no random number. [`CopyFetch`] and [`CopyServer`] decide in the same
-//! way how copies of the text cross between both, and [`Follow`] how the store is read. The crate stands apart from `decide` as
-//! nothing here is agreed through the platform's table: a side is the only holder of orders for its
-//! endpoint, and entries act on beliefs that each carry a sequence.
+//! [`PoolEntry`] decides for callers' requests: route, endpoint, queue, refuse, retry, request a
+//! model. [`PoolSide`] decides for one endpoint which order to give next. Both take events and
+//! return effects; they read no clock and draw no random number. [`CopyFetch`] and [`CopyServer`]
+//! decide in the same way how configurations are transferred between entries and sides, and
+//! [`Follow`] how the platform store is read. The crate is separate from `decide` because nothing
+//! here is agreed through the platform table: a side is the only process that gives orders to its
+//! endpoint, and entries act on views that each carry a sequence number.
 
 mod budget;
 mod copies;
--- a/crates/pool/src/liveness.rs
+++ b/crates/pool/src/liveness.rs
@@ -1,96 +1,99 @@
-//! Whether an instance still moves, by what passes from it anyway and by probes of its side.
+//! Liveness of an instance, from its regular traffic and from probes of its side.
 //!
-//! An instance that stands still keeps its connections and answers nothing, so no error tells of it. Streams
-//! under way give events every few tens of milliseconds; where they give none, a probe of the side tells an
-//! engine that is busy from an instance that stands still.
+//! A stalled instance keeps its connections open and answers nothing, so no error reveals it.
+//! Running streams produce events every few tens of milliseconds. When they produce none, a probe
+//! of the side distinguishes a busy engine from a stalled instance.
 
 use citronrill_base::Millis;
 
-/// Milliseconds without a word after which a side is probed while requests are at its endpoint.
+/// Milliseconds without traffic after which a side is probed while its endpoint has requests.
 const PROBE_MS: u64 = 100;
-/// The same where none are: a side speaks every 500 to 700.
-const OVERDUE_MS: u64 = 900;
-/// Milliseconds for which a probe may be unanswered before other endpoints are preferred.
+/// The same while it has none: a side sends its state every 500 to 700.
+const IDLE_PROBE_MS: u64 = 900;
+/// Milliseconds without a probe reply before other endpoints are preferred.
 const SUSPECT_MS: u64 = 60;
-/// Milliseconds for which a probe may be unanswered before the instance counts as standing still: a process
-/// that has used up its share of a core waits for a tenth of a second.
-const SILENT_MS: u64 = 200;
+/// Milliseconds without a probe reply before the instance counts as stalled: a process that has
+/// used up its CPU quota waits for a tenth of a second.
+const STALLED_MS: u64 = 200;
 
-/// What is known of one instance's life.
+/// Liveness of one instance.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Liveness {
-    /// Whether its side can be asked.
-    linked: bool,
-    /// When anything last came from it.
-    heard: Millis,
-    /// When its side was probed, while that is unanswered.
-    probed: Option<Millis>,
-    /// Whether it was last said to stand still.
-    told: bool,
+    /// Whether its side is connected and can be probed.
+    connected: bool,
+    /// When the last traffic arrived from it.
+    last_traffic: Millis,
+    /// When its side was probed, while the probe is unanswered.
+    probed_at: Option<Millis>,
+    /// Whether it was last reported as stalled.
+    reported_stalled: bool,
 }
 
 impl Liveness {
-    /// Takes any sign of life.
+    /// Records any traffic from the instance.
     pub(crate) fn hear(&mut self, now: Millis) {
-        self.heard = now;
-        self.probed = None;
+        self.last_traffic = now;
+        self.probed_at = None;
     }
 
-    /// The connection to its side stands.
+    /// Records that the connection to its side is established.
     pub(crate) fn link(&mut self) {
-        self.linked = true;
+        self.connected = true;
     }
 
-    /// The other end has closed the connection to its side: the process has ended, and the instance moves.
+    /// Records that the peer has closed the connection to its side: the process has ended, so the
+    /// instance responds.
     pub(crate) fn unlink(&mut self) {
-        self.linked = false;
-        self.probed = None;
+        self.connected = false;
+        self.probed_at = None;
     }
 
-    /// The connection to its side was given up after a long silence.
+    /// Records that the connection to its side was abandoned after a long silence.
     pub(crate) fn lose(&mut self, now: Millis) {
-        if self.quiet_ms(now) >= SILENT_MS {
-            self.probed.get_or_insert(Millis(now.0.saturating_sub(SILENT_MS)));
+        if self.quiet_ms(now) >= STALLED_MS {
+            self.probed_at.get_or_insert(Millis(now.0.saturating_sub(STALLED_MS)));
         }
     }
 
-    /// Whether its side is to be probed now; it counts as done. `used` says that requests are there.
+    /// Returns whether its side is to be probed now, and records the probe. `used` says whether the
+    /// endpoint has requests.
     pub(crate) fn take_probe(&mut self, used: bool, now: Millis) -> bool {
-        let quiet = if used { PROBE_MS } else { OVERDUE_MS };
-        let due = self.linked && self.probed.is_none() && now.since(self.heard) >= quiet;
+        let quiet = if used { PROBE_MS } else { IDLE_PROBE_MS };
+        let due =
+            self.connected && self.probed_at.is_none() && now.since(self.last_traffic) >= quiet;
         if due {
-            self.probed = Some(now);
+            self.probed_at = Some(now);
         }
         due
     }
 
-    /// Leaves `paused` milliseconds out of account, in which the own process stood still.
+    /// Excludes `paused` milliseconds in which this process itself was stalled.
     pub(crate) fn excuse(&mut self, paused: u64) {
-        self.probed = self.probed.map(|at| at + paused);
+        self.probed_at = self.probed_at.map(|at| at + paused);
     }
 
-    /// Milliseconds since anything came from it.
+    /// Returns the milliseconds since the last traffic.
     pub(crate) fn quiet_ms(&self, now: Millis) -> u64 {
-        now.since(self.heard)
+        now.since(self.last_traffic)
     }
 
-    /// Whether it may stand still.
+    /// Returns whether it may be stalled.
     pub(crate) fn suspect(&self, now: Millis) -> bool {
         self.unanswered(now, SUSPECT_MS)
     }
 
-    /// Whether it stands still, as far as can be told.
+    /// Returns whether it counts as stalled.
     pub(crate) fn silent(&self, now: Millis) -> bool {
-        self.unanswered(now, SILENT_MS)
+        self.unanswered(now, STALLED_MS)
     }
 
-    /// Whether that has changed since it was last asked here.
+    /// Returns the new state if it has changed between stalled and responsive since the last call.
     pub(crate) fn take_change(&mut self, now: Millis) -> Option<bool> {
-        let silent = self.silent(now);
-        (std::mem::replace(&mut self.told, silent) != silent).then_some(silent)
+        let stalled = self.silent(now);
+        (std::mem::replace(&mut self.reported_stalled, stalled) != stalled).then_some(stalled)
     }
 
     fn unanswered(&self, now: Millis, ms: u64) -> bool {
-        self.probed.is_some_and(|at| now.since(at) >= ms)
+        self.probed_at.is_some_and(|at| now.since(at) >= ms)
     }
 }
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pace.rs
@@ -1,53 +1,53 @@
-//! When a control thread looks at the clock.
+//! When a control thread runs its periodic checks.
 
 use citronrill_base::Millis;
 
-/// Milliseconds between two whole looks while other events keep coming: a whole one goes over all endpoints
-/// for each model in demand.
-const WHOLE_MS: u64 = 100;
+/// Minimum milliseconds between two full checks while other events keep arriving: a full check
+/// iterates over all endpoints for each model in demand.
+const FULL_CHECK_MS: u64 = 100;
 
-/// What is due.
+/// Which check is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Due {
-    /// Nothing.
+    /// No check.
     Nothing,
-    /// A look at what cannot wait.
+    /// The check of what cannot wait.
     Look,
-    /// A whole one.
+    /// The full check.
     Whole,
 }
 
-/// Looks at regular times, whatever comes in between.
+/// Schedules checks at regular intervals, independently of other events.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Pace {
-    last: Millis,
-    whole: Millis,
-    /// Whether an event has come since the last look.
-    busy: bool,
+    last_check: Millis,
+    last_full: Millis,
+    /// Whether an event has arrived since the last check.
+    events_seen: bool,
 }
 
 impl Pace {
-    /// Takes note of an event.
+    /// Records an event.
     pub fn note_event(&mut self) {
-        self.busy = true;
+        self.events_seen = true;
     }
 
-    /// Milliseconds until the next look, where one is due every `every_ms`.
+    /// Returns the milliseconds until the next check, where one is due every `every_ms`.
     pub fn left_ms(&self, every_ms: u64, now: Millis) -> u64 {
-        every_ms.saturating_sub(now.since(self.last))
+        every_ms.saturating_sub(now.since(self.last_check))
     }
 
-    /// What is due; it counts as done.
+    /// Returns which check is due, and records it as done.
     pub fn take(&mut self, every_ms: u64, now: Millis) -> Due {
         if self.left_ms(every_ms, now) > 0 {
             return Due::Nothing;
         }
-        self.last = now;
-        let busy = std::mem::take(&mut self.busy);
-        if busy && now.since(self.whole) < WHOLE_MS {
+        self.last_check = now;
+        let events_seen = std::mem::take(&mut self.events_seen);
+        if events_seen && now.since(self.last_full) < FULL_CHECK_MS {
             return Due::Look;
         }
-        self.whole = now;
+        self.last_full = now;
         Due::Whole
     }
 }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,4 +1,4 @@
-//! The endpoints that an entry knows, by the platform's list and by their sides.
+//! The endpoints known to an entry, from the member list and from the reports of their sides.
 
 use std::net::SocketAddr;
 
@@ -6,32 +6,33 @@
 use citronrill_wire::SideState;
 
 use crate::{
-    endpoint::{Endpoint, Holding, SideBelief},
+    endpoint::{Endpoint, ModelInventory, SideView},
     member::{Member, MemberChange},
-    start::{SETTLE_MS, StartNews, StartTime},
+    start::{IncarnationChange, OLDER_START_DELAY_MS, StartTime},
 };
 
-/// What an entry learned from a side's word.
+/// Result of applying a side's report.
 #[derive(Debug)]
-pub(crate) struct Heard {
-    /// The start of the endpoint that is over, as the side named another.
+pub(crate) struct ReportOutcome {
+    /// The incarnation that has ended, if the side named another one.
     pub(crate) over: Option<String>,
-    /// Whether the endpoint has started again under its name.
+    /// Whether the endpoint has restarted under the same name.
     pub(crate) anew: bool,
 }
 
-/// What a change of the list has brought.
+/// Result of applying a change of the member list.
 #[derive(Debug, Default)]
 pub(crate) struct Listed {
-    /// Whether it has changed who may be used.
+    /// Whether the set of usable endpoints has changed.
     pub(crate) moved: bool,
-    /// Endpoints that have started again under their names.
+    /// Endpoints that have restarted under the same name.
     pub(crate) anew: Vec<String>,
-    /// Endpoints whose entry was withheld, as it is of a start that seems over.
+    /// Endpoints whose list entry was deferred because it belongs to an incarnation that has
+    /// presumably ended.
     pub(crate) older: Vec<String>,
-    /// The services of endpoints that have begun to leave, or are gone without having said so.
+    /// Services of endpoints that have started to leave, or have disappeared without announcing it.
     pub(crate) departed: Vec<String>,
-    /// Entries of services that the text does not name, with the services.
+    /// List entries of services that the configuration does not name, with the services.
     pub(crate) strangers: Vec<(String, String)>,
 }
 
@@ -40,17 +41,17 @@
 pub(crate) struct Pool {
     pub(crate) endpoints: Map<String, Endpoint>,
     by_address: Map<SocketAddr, String>,
-    /// Starts of endpoints that are known to be over though the list may still name them.
-    over: Set<String>,
-    /// The services that the text names; `None` while no text is known.
+    /// Incarnations known to have ended that the member list may still name.
+    ended: Set<String>,
+    /// The services in the configuration; `None` while no configuration is known.
     services: Option<Set<String>>,
-    /// Entries of services that the text does not name.
-    strangers: Map<String, Member>,
+    /// List entries of services that the configuration does not name.
+    unserved: Map<String, Member>,
     pub(crate) version: u64,
 }
 
 impl Pool {
-    /// Takes a change of the list.
+    /// Applies a change of the member list.
     pub(crate) fn apply(
         &mut self,
         change: MemberChange,
@@ -58,7 +59,8 @@
         now: Millis,
     ) -> Listed {
         let mut listed = Listed::default();
-        // A list read earlier can arrive later; an older one must not bring back who has left.
+        // A list that was read earlier can arrive later; it must not bring back endpoints that have
+        // left.
         if change.version < self.version {
             return listed;
         }
@@ -68,17 +70,17 @@
         }
         for (id, member) in change.rows {
             match member {
-                Some(member) if self.serves(&member.service) => {
-                    self.strangers.remove(&id);
-                    self.put(member, change.whole, names, now, &mut listed);
+                Some(member) if self.is_served(&member.service) => {
+                    self.unserved.remove(&id);
+                    self.upsert(member, change.whole, names, now, &mut listed);
                 }
                 member => {
-                    self.over.remove(&id);
-                    self.depart(&id, &mut listed);
-                    self.strangers.remove(&id);
+                    self.ended.remove(&id);
+                    self.remove_unlisted(&id, &mut listed);
+                    self.unserved.remove(&id);
                     if let Some(member) = member {
                         listed.strangers.push((id.clone(), member.service.clone()));
-                        self.strangers.insert(id, member);
+                        self.unserved.insert(id, member);
                     }
                 }
             }
@@ -86,7 +88,7 @@
         listed
     }
 
-    /// Forgets whoever a whole list does not name.
+    /// Removes endpoints that a complete member list does not contain.
     fn drop_unlisted(
         &mut self,
         rows: &[(String, Option<Member>)],
@@ -94,16 +96,18 @@
         changes: &mut Listed,
     ) {
         let listed = |id: &String| rows.iter().any(|(row, _)| row == id);
-        self.over.retain(listed);
-        self.strangers.retain(|id, _| listed(id));
-        let named = |one: &Endpoint| one.unlisted && one.fresh_side(now).is_some();
-        let gone = self.endpoints.iter().filter(|(id, one)| !listed(id) && !named(one));
+        self.ended.retain(listed);
+        self.unserved.retain(|id, _| listed(id));
+        let reported =
+            |endpoint: &Endpoint| endpoint.unlisted && endpoint.fresh_side(now).is_some();
+        let gone =
+            self.endpoints.iter().filter(|(id, endpoint)| !listed(id) && !reported(endpoint));
         let gone = gone.map(|(id, _)| id.clone()).collect::<Vec<_>>();
-        gone.iter().for_each(|id| self.depart(id, changes));
+        gone.iter().for_each(|id| self.remove_unlisted(id, changes));
     }
 
-    /// Forgets an endpoint that is no longer listed.
-    fn depart(&mut self, id: &str, listed: &mut Listed) {
+    /// Removes an endpoint that is no longer listed.
+    fn remove_unlisted(&mut self, id: &str, listed: &mut Listed) {
         let Some(endpoint) = self.endpoints.get(id) else { return };
         if endpoint.open() {
             listed.departed.push(endpoint.member.service.clone());
@@ -112,16 +116,17 @@
         self.remove(id);
     }
 
-    /// Whether a service is one of the text's; any is while no text is known.
-    fn serves(&self, service: &str) -> bool {
+    /// Returns whether the configuration names a service; any service counts while no configuration
+    /// is known.
+    fn is_served(&self, service: &str) -> bool {
         self.services.as_ref().is_none_or(|services| services.contains(service))
     }
 
-    /// Takes the services that the text names, and looks again at who belongs to one.
+    /// Sets the services that the configuration names, and moves list entries accordingly.
     ///
-    /// The failure it prevents: another writer's entry names a service that is not served, and the
-    /// address of an endpoint that is. Taken for the endpoint that has turned up there, it takes the
-    /// place of the one that serves.
+    /// Guards against another writer's list entry that names a service which is not served, and the
+    /// address of an endpoint that is served. If it were taken for a new endpoint at that address,
+    /// it would replace the one that serves.
     pub(crate) fn serve(
         &mut self,
         services: Set<String>,
@@ -129,47 +134,49 @@
         now: Millis,
     ) -> Listed {
         let mut listed = Listed::default();
-        let unserved =
-            self.endpoints.iter().filter(|(_, one)| !services.contains(&one.member.service));
-        let unserved = unserved.map(|(id, one)| (id.clone(), one.member.clone()));
+        let unserved = self
+            .endpoints
+            .iter()
+            .filter(|(_, endpoint)| !services.contains(&endpoint.member.service));
+        let unserved = unserved.map(|(id, endpoint)| (id.clone(), endpoint.member.clone()));
         let unserved = unserved.collect::<Vec<_>>();
-        let served = self.strangers.iter().filter(|(_, one)| services.contains(&one.service));
-        let served = served.map(|(_, one)| one.clone()).collect::<Vec<_>>();
+        let served = self.unserved.iter().filter(|(_, member)| services.contains(&member.service));
+        let served = served.map(|(_, member)| member.clone()).collect::<Vec<_>>();
         self.services = Some(services);
         for (id, member) in unserved {
             self.remove(&id);
             listed.moved = true;
             listed.strangers.push((id.clone(), member.service.clone()));
-            self.strangers.insert(id, member);
+            self.unserved.insert(id, member);
         }
         for member in served {
-            self.strangers.remove(&member.instance);
-            self.put(member, true, names, now, &mut listed);
+            self.unserved.remove(&member.instance);
+            self.upsert(member, true, names, now, &mut listed);
         }
         listed
     }
 
-    /// Forgets an endpoint; another that is listed at its address takes the address over.
+    /// Removes an endpoint; another one listed at its address takes over the address.
     pub(crate) fn remove(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.remove(id) {
-            self.leave_address(endpoint.member.address, id);
+            self.release_address(endpoint.member.address, id);
         }
     }
 
-    /// Gives the address that an endpoint had to another that is listed there.
-    fn leave_address(&mut self, address: SocketAddr, id: &str) {
+    /// Reassigns the address of an endpoint to another one that is listed there.
+    fn release_address(&mut self, address: SocketAddr, id: &str) {
         if self.by_address.get(&address).is_none_or(|held| held != id) {
             return;
         }
-        let mut others = self.endpoints.values().map(|one| &one.member);
-        let next = others.find(|one| one.address == address && one.instance != id);
-        match next.map(|one| one.instance.clone()) {
+        let mut others = self.endpoints.values().map(|endpoint| &endpoint.member);
+        let next = others.find(|member| member.address == address && member.instance != id);
+        match next.map(|member| member.instance.clone()) {
             Some(next) => self.by_address.insert(address, next),
             None => self.by_address.remove(&address),
         };
     }
 
-    fn put(
+    fn upsert(
         &mut self,
         member: Member,
         whole: bool,
@@ -178,33 +185,34 @@
         listed: &mut Listed,
     ) {
         let id = member.instance.clone();
-        if self.over.contains(&id) {
+        if self.ended.contains(&id) {
             return;
         }
         let known = self.endpoints.contains_key(&id);
-        if known && !self.take_start(&member, now, listed) {
+        if known && !self.apply_start_time(&member, now, listed) {
             return;
         }
-        // An endpoint that crashed is listed for some heartbeats beside its next start. Only one can
-        // be there, and it is the one that turned up last.
-        let before = self.by_address.get(&member.address).filter(|held| **held != id).cloned();
-        if let Some(before) = before.filter(|_| !known && !whole) {
-            self.endpoints.remove(&before);
+        // An endpoint that crashed stays listed for some heartbeats beside its next incarnation.
+        // Only one can be at the address, and it is the one that was listed last.
+        let previous = self.by_address.get(&member.address).filter(|held| **held != id).cloned();
+        if let Some(previous) = previous.filter(|_| !known && !whole) {
+            self.endpoints.remove(&previous);
         }
-        let last = self.endpoints.get(&id).map(|one| one.member.address);
-        if let Some(last) = last.filter(|last| *last != member.address) {
-            self.leave_address(last, &id);
+        let old_address = self.endpoints.get(&id).map(|endpoint| endpoint.member.address);
+        if let Some(old_address) = old_address.filter(|address| *address != member.address) {
+            self.release_address(old_address, &id);
         }
         self.by_address.insert(member.address, id.clone());
         let endpoint =
             self.endpoints.entry(id).or_insert_with(|| Endpoint::new(member.clone(), now));
         if !known {
-            endpoint.start.hear(member.started, now);
+            endpoint.incarnation.update(member.started, now);
         }
-        // The list is seconds behind. While the side speaks, its word stands: a list that still
-        // names a model that is making way would bring its requests back to be refused.
+        // The list is seconds behind. While the side reports, its reports take precedence: a list
+        // that still names a model that is being evicted would attract requests that are then
+        // refused.
         if endpoint.fresh_side(now).is_none() {
-            endpoint.holding = Holding::listed(&member, names);
+            endpoint.holding = ModelInventory::from_member(&member, names);
         }
         listed.moved |= !known || endpoint.member.leaving != member.leaving;
         if known && endpoint.open() && member.leaving {
@@ -214,75 +222,77 @@
         endpoint.unlisted = false;
     }
 
-    /// Takes the start that an entry names for an endpoint that is known; false if the entry has to
-    /// wait, as it is of a start that seems over.
+    /// Applies the start time of a list entry to a known endpoint. Returns false if the entry is
+    /// deferred because it belongs to an incarnation that has presumably ended.
     ///
-    /// That an endpoint leaves is believed at once while no side says otherwise: to send it work after
-    /// that would break a promise, and to spare it for a heartbeat costs little.
-    fn take_start(&mut self, member: &Member, now: Millis, listed: &mut Listed) -> bool {
+    /// A leaving endpoint is accepted as leaving immediately unless its side reports otherwise:
+    /// dispatching requests to it after that would violate the guarantee given to leaving
+    /// endpoints, while avoiding it for one heartbeat costs little.
+    fn apply_start_time(&mut self, member: &Member, now: Millis, listed: &mut Listed) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&member.instance) else { return true };
-        match endpoint.start.hear(member.started, now) {
-            StartNews::Same => {}
-            StartNews::New => {
-                endpoint.begin_anew(now);
+        match endpoint.incarnation.update(member.started, now) {
+            IncarnationChange::Same => {}
+            IncarnationChange::New => {
+                endpoint.reset_for_restart(now);
                 listed.anew.push(member.instance.clone());
             }
-            StartNews::Older => {
-                let since = endpoint.withheld.as_ref().map_or(now, |(_, since)| *since);
+            IncarnationChange::Older => {
+                let since = endpoint.deferred.as_ref().map_or(now, |(_, since)| *since);
                 if member.leaving && endpoint.fresh_side(now).is_none() {
                     listed.moved |= !endpoint.member.leaving;
                     endpoint.member.leaving = true;
                 }
-                endpoint.withheld = Some((member.clone(), since));
+                endpoint.deferred = Some((member.clone(), since));
                 listed.older.push(member.instance.clone());
                 return false;
             }
         }
-        endpoint.withheld = None;
+        endpoint.deferred = None;
         true
     }
 
-    /// Takes entries of older starts that nothing has contradicted for long enough.
+    /// Applies deferred entries of older incarnations that nothing has contradicted for
+    /// [`OLDER_START_DELAY_MS`].
     pub(crate) fn settle_starts(&mut self, names: &mut Names<ModelKey>, now: Millis) -> Listed {
         let mut listed = Listed::default();
-        let settled = self
-            .endpoints
-            .values_mut()
-            .filter_map(|one| one.withheld.take_if(|(_, since)| now.since(*since) >= SETTLE_MS));
+        let settled = self.endpoints.values_mut().filter_map(|endpoint| {
+            endpoint.deferred.take_if(|(_, since)| now.since(*since) >= OLDER_START_DELAY_MS)
+        });
         for (member, _) in settled.collect::<Vec<_>>() {
-            self.put(member, true, names, now, &mut listed);
+            self.upsert(member, true, names, now, &mut listed);
         }
         listed
     }
 
-    /// The endpoint that was last listed at `address`.
+    /// Returns the endpoint that was last listed at `address`.
     pub(crate) fn at(&mut self, address: SocketAddr) -> Option<&mut Endpoint> {
         let id = self.by_address.get(&address)?;
         self.endpoints.get_mut(id)
     }
 
-    /// Takes a side's word for the endpoint at `address`.
+    /// Applies a side's report to the endpoint at `address`.
     pub(crate) fn hear(
         &mut self,
         address: SocketAddr,
         state: &SideState,
         names: &mut Names<ModelKey>,
         now: Millis,
-    ) -> Option<Heard> {
+    ) -> Option<ReportOutcome> {
         let over = self.supersede(address, state, now);
         let endpoint = self.at(address)?;
-        let news = endpoint.start.hear(state.started.map(StartTime), now);
-        if news == StartNews::Older {
+        let change = endpoint.incarnation.update(state.started.map(StartTime), now);
+        if change == IncarnationChange::Older {
             return None;
         }
-        let anew = news == StartNews::New;
+        let anew = change == IncarnationChange::New;
         if anew {
-            endpoint.begin_anew(now);
+            endpoint.reset_for_restart(now);
         }
-        // The side asks the endpoint itself: an entry of the list that names another start is late.
-        endpoint.withheld = endpoint.withheld.take().filter(|_| state.started.is_none());
+        // The side queries the endpoint itself: a list entry for another incarnation is out of
+        // date.
+        endpoint.deferred = endpoint.deferred.take().filter(|_| state.started.is_none());
         if state.sound {
-            endpoint.holding = Holding::told(state, names);
+            endpoint.holding = ModelInventory::from_state(state, names);
         }
         endpoint.life.link();
         endpoint.life.hear(now);
@@ -298,7 +308,7 @@
             .collect();
         let fixed = state.models.iter().filter(|model| model.fixed);
         let fixed = fixed.map(|model| names.intern(&model.name)).collect();
-        endpoint.side = Some(SideBelief {
+        endpoint.side = Some(SideView {
             at: now,
             loading: state.loading.iter().map(|name| names.intern(name)).collect(),
             leaving: state.leaving.iter().map(|name| names.intern(name)).collect(),
@@ -314,19 +324,20 @@
             fixed,
             rates,
         });
-        Some(Heard { over, anew })
+        Some(ReportOutcome { over, anew })
     }
 
-    /// Makes the start that the side names the one at `address`; gives the one that is over.
+    /// Registers the incarnation that the side names at `address`; returns the one that has ended.
     ///
-    /// An endpoint that crashed is listed under its last name for seconds after it is up again, and
-    /// whatever is sent to that name is refused. The new start has the place and the service of the
-    /// last one; a side of another service at the same address says nothing of either.
+    /// An endpoint that crashed is listed under its previous name for seconds after it is up again,
+    /// and requests sent to that name are refused. The new incarnation takes the address and the
+    /// service of the previous one. A report from a side of another service at the same address
+    /// concerns neither.
     fn supersede(&mut self, address: SocketAddr, state: &SideState, now: Millis) -> Option<String> {
         let held = self.by_address.get(&address)?.clone();
         let service = &self.endpoints.get(&held)?.member.service;
-        let told = state.sound && !state.instance.is_empty() && *service == state.service;
-        if !told || held == state.instance {
+        let valid = state.sound && !state.instance.is_empty() && *service == state.service;
+        if !valid || held == state.instance {
             return None;
         }
         let mut member = self.endpoints.remove(&held)?.member;
@@ -338,8 +349,8 @@
             .or_insert_with(|| Endpoint::unlisted(member, now));
         endpoint.member.address = address;
         self.by_address.insert(address, state.instance.clone());
-        self.over.remove(&state.instance);
-        self.over.insert(held.clone());
+        self.ended.remove(&state.instance);
+        self.ended.insert(held.clone());
         Some(held)
     }
 }
--- a/crates/pool/src/rate.rs
+++ b/crates/pool/src/rate.rs
@@ -2,16 +2,16 @@
 
 use citronrill_base::Millis;
 
-/// Milliseconds after which an event counts 1/e in the slow average: long enough to tell a model
-/// asked for every few seconds from one that is not asked for.
+/// Milliseconds after which an event counts 1/e in the slow average: long enough to distinguish a
+/// model requested every few seconds from one that is not requested.
 const SLOW_MS: f64 = 10_000.0;
-/// The same for the fast average, which follows a burst or demand that moves within a second.
+/// The same for the fast average, which follows a burst or a shift of demand within a second.
 const FAST_MS: f64 = 1_500.0;
 
 /// Events a second: the larger of a slow and a fast average.
 ///
-/// A busy model that turns up must count as busy before its only replica is unloaded for another,
-/// and one that goes quiet for a second must not count as idle.
+/// A model whose demand rises suddenly must count as busy before its only replica is unloaded for
+/// another, and one without requests for a second must not count as idle.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Rate {
     slow: f64,
@@ -27,10 +27,10 @@
         self.at = now;
     }
 
-    /// Events a second at `now`.
+    /// Returns the events a second at `now`.
     pub(crate) fn per_s(&self, now: Millis) -> f64 {
         let slow = self.decayed(self.slow, SLOW_MS, now) * 1_000.0 / SLOW_MS;
-        // One event alone says nothing of a second.
+        // A single event gives no rate.
         let fast = (self.decayed(self.fast, FAST_MS, now) - 1.0) * 1_000.0 / FAST_MS;
         slow.max(fast)
     }
--- a/crates/pool/src/side/plan.rs
+++ b/crates/pool/src/side/plan.rs
@@ -1,66 +1,70 @@
-//! Which wants are taken, and what makes way for them.
+//! Which load requests are accepted, and which models are evicted for them.
 
 use citronrill_decide::LogEvent;
 use citronrill_wire::{ModelName, Want};
 
-use super::{EntryLink, OrderKind, Planned, PoolSide, SideEffect, report::holds};
+use super::{EntryLink, OrderKind, PlannedLoad, PoolSide, SideEffect, report::holds};
 
-/// Milliseconds for which a model stays once it was loaded for somebody: requests that wait for it
-/// elsewhere are on their way.
-const MIN_STAY_MS: u64 = 300;
-/// Wants that wait at most; more cannot be met in time (a load takes over 400 ms).
-const WANT_LIMIT: usize = 16;
+/// Milliseconds for which a model is kept after it was loaded on request: requests that wait for it
+/// at entries are on their way.
+const MIN_RESIDENCY_MS: u64 = 300;
+/// Maximum number of planned loads; more cannot be completed in time (a load takes over 400 ms).
+const MAX_PLANNED_LOADS: usize = 16;
 
 impl PoolSide {
-    /// Plans what an entry asks for, or says at once that it will not be met here.
+    /// Plans the load that an entry requests, or declines it immediately.
     ///
-    /// Room is set aside and victims are named when the want is taken, and told to all entries
-    /// with the next state. Otherwise several entries that act at the same moment each count on
-    /// the other replicas of a busy model, and all of them are unloaded.
-    pub(super) fn take_want(&mut self, link: EntryLink, want: Want) {
-        let until = self.now + want.ttl_ms;
-        let same =
-            |one: &&mut Planned| one.want.model == want.model && one.want.adapter == want.adapter;
+    /// Room is reserved and eviction candidates are fixed when the request is accepted, and
+    /// published to all entries with the next state. Otherwise several entries that act at the same
+    /// moment could each rely on the other replicas of a busy model, and all of them would be
+    /// unloaded.
+    pub(super) fn handle_load_request(&mut self, link: EntryLink, request: Want) {
+        let deadline = self.now + request.ttl_ms;
+        let same = |planned: &&mut PlannedLoad| {
+            planned.request.model == request.model && planned.request.adapter == request.adapter
+        };
         if let Some(known) = self.plan.iter_mut().find(same) {
-            known.until = known.until.max(until);
+            known.deadline = known.deadline.max(deadline);
             return;
         }
-        let victims_named = want.victims.clone();
-        let known = self.start_time.time().map(|start| start.0);
-        let other = want.started.zip(known).is_some_and(|(meant, known)| meant != known);
-        let gone = other || !self.start.is_present(&want.instance, self.now);
-        let victims = if gone {
+        let candidates = request.victims.clone();
+        let known = self.incarnation.start_time().map(|start| start.0);
+        let other_incarnation =
+            request.started.zip(known).is_some_and(|(requested, known)| requested != known);
+        let not_current =
+            other_incarnation || !self.incarnation_name.is_current(&request.instance, self.now);
+        let evictions = if not_current {
             None
-        } else if want.adapter.is_empty() {
-            self.make_room(&want)
+        } else if request.adapter.is_empty() {
+            self.choose_evictions(&request)
         } else {
             Some(Vec::new())
         };
-        match victims {
-            Some(victims) if self.plan.len() < WANT_LIMIT => {
+        match evictions {
+            Some(evictions) if self.plan.len() < MAX_PLANNED_LOADS => {
                 self.log(
                     LogEvent::new("planned")
-                        .with("model", &want.model)
-                        .with("adapter", &want.adapter)
-                        .with("victims", victims.join(","))
+                        .with("model", &request.model)
+                        .with("adapter", &request.adapter)
+                        .with("victims", evictions.join(","))
                         .with("before", self.plan.len())
-                        .with("waiting", want.waiting),
+                        .with("waiting", request.waiting),
                 );
-                self.plan.push_back(Planned { want, until, at: self.now, victims });
+                self.plan.push_back(PlannedLoad { request, deadline, at: self.now, evictions });
             }
             _ => {
-                let name = ModelName { model: want.model, adapter: want.adapter };
+                let name = ModelName { model: request.model, adapter: request.adapter };
                 let free = self.free_mb();
-                let stays = victims_named.iter().filter(|name| self.stays(name)).count();
-                let leaving = victims_named.iter().filter(|name| self.is_leaving(name)).count();
+                let protected = candidates.iter().filter(|name| self.is_protected(name)).count();
+                let unloading = candidates.iter().filter(|name| self.is_unloading(name)).count();
                 self.log(
                     LogEvent::new("declined")
                         .with("model", &name.model)
-                        .with("gone", gone)
+                        .with("gone", not_current)
                         .with("free_mb", free as i64)
-                        .with("victims", victims_named.join(","))
-                        .with("stays", stays)
-                        .with("leaving", leaving)
+                        .with("victims", candidates.join(","))
+                        .with("stays", protected)
+                        .with("leaving", unloading)
                         .with("planned", self.plan.len()),
                 );
                 self.effects.push(SideEffect::Decline(link, name));
@@ -68,58 +72,58 @@
         }
     }
 
-    /// Memory that is free once all that is planned is done, in MB.
+    /// Returns the memory that is free once all planned loads and evictions are complete, in MB.
     fn free_mb(&self) -> f64 {
         let (Some(report), Some(engine)) = (&self.report, self.engine()) else { return 0.0 };
         let size = |name: &str| engine.model(name).map_or(0.0, |spec| spec.weights_mb);
-        let coming = self.plan.iter().filter(|one| one.want.adapter.is_empty());
-        let coming = coming.filter(|one| !holds(report, &one.want.model, ""));
-        let coming = coming.map(|one| size(&one.want.model)).sum::<f64>();
-        let going = self.plan.iter().flat_map(|one| &one.victims).map(|name| size(name));
+        let pending = self.plan.iter().filter(|planned| planned.request.adapter.is_empty());
+        let pending = pending.filter(|planned| !holds(report, &planned.request.model, ""));
+        let pending = pending.map(|planned| size(&planned.request.model)).sum::<f64>();
+        let freed = self.plan.iter().flat_map(|planned| &planned.evictions).map(|name| size(name));
         let held = report.models.iter().map(|model| size(&model.name)).sum::<f64>();
-        engine.weights_mb - held - coming + going.sum::<f64>()
+        engine.weights_mb - held - pending + freed.sum::<f64>()
     }
 
-    /// What has to make way for a model; `None` if it cannot be brought in.
-    fn make_room(&self, want: &Want) -> Option<Vec<String>> {
+    /// Returns the models to evict for the requested model, or `None` if it cannot be loaded.
+    fn choose_evictions(&self, request: &Want) -> Option<Vec<String>> {
         let report = self.report.as_ref()?;
         let engine = self.engine()?;
         let size = |name: &str| engine.model(name).map_or(0.0, |spec| spec.weights_mb);
-        let spec = engine.model(&want.model)?;
-        if holds(report, &want.model, "") && !self.is_leaving(&want.model) {
+        let spec = engine.model(&request.model)?;
+        if holds(report, &request.model, "") && !self.is_unloading(&request.model) {
             return Some(Vec::new());
         }
         let adapters = f64::from(engine.adapter_limit) * spec.adapter_mb;
         let mut free = self.free_mb() - adapters;
-        let mut victims = Vec::new();
-        let mut candidates = want
-            .victims
-            .iter()
-            .filter(|name| holds(report, name, "") && !self.is_leaving(name) && !self.stays(name));
+        let mut evictions = Vec::new();
+        let mut candidates = request.victims.iter().filter(|name| {
+            holds(report, name, "") && !self.is_unloading(name) && !self.is_protected(name)
+        });
         while free < spec.weights_mb {
-            let victim = candidates.next()?;
-            free += size(victim);
-            victims.push(victim.clone());
+            let model = candidates.next()?;
+            free += size(model);
+            evictions.push(model.clone());
         }
-        Some(victims)
+        Some(evictions)
     }
 
-    pub(super) fn is_leaving(&self, model: &str) -> bool {
-        self.leaving().any(|name| name == model)
+    pub(super) fn is_unloading(&self, model: &str) -> bool {
+        self.unloading().any(|name| name == model)
     }
 
-    /// Models that are being unloaded, or will be.
-    pub(super) fn leaving(&self) -> impl Iterator<Item = &String> {
-        let ordered = self.model_order.iter().map(|given| &given.order);
+    /// Returns the models that are being unloaded or are planned to be.
+    pub(super) fn unloading(&self) -> impl Iterator<Item = &String> {
+        let ordered = self.model_order.iter().map(|issued| &issued.order);
         let ordered = ordered.filter(|order| order.kind == OrderKind::Unload);
-        let planned = self.plan.iter().flat_map(|one| &one.victims);
+        let planned = self.plan.iter().flat_map(|planned| &planned.evictions);
         ordered.map(|order| &order.model).chain(planned)
     }
 
-    /// Whether a model was brought in just now, or is planned.
-    pub(super) fn stays(&self, model: &str) -> bool {
-        let arrived = self.arrived.get(model);
-        arrived.is_some_and(|at| self.now.since(*at) < MIN_STAY_MS)
-            || self.plan.iter().any(|one| one.want.model == model)
+    /// Returns whether a model must not be evicted, because it was loaded recently or its load is
+    /// planned.
+    pub(super) fn is_protected(&self, model: &str) -> bool {
+        let loaded_at = self.loaded_at.get(model);
+        loaded_at.is_some_and(|at| self.now.since(*at) < MIN_RESIDENCY_MS)
+            || self.plan.iter().any(|planned| planned.request.model == model)
     }
 }
--- a/crates/pool/src/side/start_name.rs
+++ b/crates/pool/src/side/start_name.rs
@@ -1,77 +1,80 @@
-//! The name of the endpoint's present start.
+//! The name of the endpoint's current incarnation.
 
 use citronrill_base::Millis;
 
-/// Milliseconds before an endpoint that did not tell its name is asked again: it may wait for a slot.
-const ASK_MS: u64 = 250;
-/// Milliseconds for which no want is taken while the name is not known after a restart: an endpoint
-/// that is up tells it within a few, and one that never tells it must not stay empty.
-const UNNAMED_MS: u64 = 1_000;
+/// Milliseconds before an endpoint that did not report its name is asked again: the request may
+/// wait for a slot.
+const QUERY_RETRY_MS: u64 = 250;
+/// Milliseconds after a restart for which no load request is accepted while the name is unknown. An
+/// endpoint that is up reports it within a few milliseconds, and one that never reports it must not
+/// stay empty.
+const UNNAMED_LIMIT_MS: u64 = 1_000;
 
-/// What a side knows of the name of its endpoint's present start.
+/// Name of the endpoint's current incarnation, as far as the side knows it.
 ///
-/// The failure it meets: an endpoint crashes and is up again after two seconds, but the list names
-/// its last start for one or two seconds more. Entries ask for models under that name, and each
-/// order is refused; 30 refused orders in 0.9 s were seen while the endpoint stood empty. So the
-/// endpoint itself is asked, once for each start, and its entries hear the name with its state.
+/// Guards against this failure: an endpoint crashes and is up again after two seconds, but the
+/// member list names its previous incarnation for one or two seconds more. Entries request models
+/// under that name, and each order is refused: 30 orders were refused in 0.9 s while the endpoint
+/// held no model. The side therefore asks the endpoint itself, once for each incarnation, and
+/// publishes the name with its state.
 #[derive(Debug, Default)]
-pub(super) struct StartName {
+pub(super) struct IncarnationName {
     name: Option<String>,
-    /// Whether the endpoint is to be asked, and when it was asked last.
-    due: bool,
-    asked: Option<Millis>,
-    /// When a restart was seen after which no name is known.
-    restarted: Option<Millis>,
+    /// Whether the endpoint is to be asked, and when it was last asked.
+    query_due: bool,
+    queried_at: Option<Millis>,
+    /// When a restart was seen after which the name is still unknown.
+    restarted_at: Option<Millis>,
 }
 
-impl StartName {
-    /// Nothing is known yet, and the endpoint is to be asked.
-    pub(super) fn unknown() -> StartName {
-        StartName { due: true, ..StartName::default() }
+impl IncarnationName {
+    /// Creates an unknown name, which the endpoint is to be asked for.
+    pub(super) fn unknown() -> IncarnationName {
+        IncarnationName { query_due: true, ..IncarnationName::default() }
     }
 
-    /// The name, if it is known.
+    /// Returns the name, if it is known.
     pub(super) fn known(&self) -> Option<&str> {
         self.name.as_deref()
     }
 
-    /// Takes the name from the endpoint; true if it is new.
-    pub(super) fn learn(&mut self, name: &str) -> bool {
-        self.due = false;
-        self.restarted = None;
+    /// Stores the name that the endpoint reported; returns whether it is new.
+    pub(super) fn set(&mut self, name: &str) -> bool {
+        self.query_due = false;
+        self.restarted_at = None;
         let new = self.known() != Some(name);
         self.name = Some(name.to_owned());
         new
     }
 
-    /// The endpoint may have started again: it did not answer for a while.
-    pub(super) fn doubt(&mut self) {
-        self.due = true;
+    /// Asks again because the endpoint did not answer and may have restarted.
+    pub(super) fn query_again(&mut self) {
+        self.query_due = true;
     }
 
-    /// The endpoint has started again, or refused its name.
-    pub(super) fn forget(&mut self, now: Millis) {
-        self.due = true;
-        self.asked = None;
+    /// Discards the name, because the endpoint has restarted or rejected an order that carried it.
+    pub(super) fn clear(&mut self, now: Millis) {
+        self.query_due = true;
+        self.queried_at = None;
         self.name = None;
-        self.restarted.get_or_insert(now);
+        self.restarted_at.get_or_insert(now);
     }
 
-    /// Whether `instance` is the present start, as far as is known.
-    pub(super) fn is_present(&self, instance: &str, now: Millis) -> bool {
+    /// Returns whether `instance` is the current incarnation, as far as is known.
+    pub(super) fn is_current(&self, instance: &str, now: Millis) -> bool {
         match &self.name {
             Some(name) => name == instance,
-            None => self.restarted.is_none_or(|at| now.since(at) > UNNAMED_MS),
+            None => self.restarted_at.is_none_or(|at| now.since(at) > UNNAMED_LIMIT_MS),
         }
     }
 
-    /// Whether the endpoint is to be asked now.
-    pub(super) fn take_turn(&mut self, now: Millis) -> bool {
-        let early = self.asked.is_some_and(|at| now.since(at) < ASK_MS);
-        let turn = self.due && !early;
-        if turn {
-            self.asked = Some(now);
+    /// Returns whether the endpoint is to be asked now, and records the attempt.
+    pub(super) fn take_query(&mut self, now: Millis) -> bool {
+        let early = self.queried_at.is_some_and(|at| now.since(at) < QUERY_RETRY_MS);
+        let query = self.query_due && !early;
+        if query {
+            self.queried_at = Some(now);
         }
-        turn
+        query
     }
 }
--- a/crates/pool/src/side/types.rs
+++ b/crates/pool/src/side/types.rs
@@ -7,81 +7,81 @@
 
 use crate::{member::HeldModel, start::StartTime, text::ServingText};
 
-/// What the endpoint says of itself.
+/// State that the endpoint reports.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct EngineReport {
-    /// When this start began, if it says.
+    /// When the current incarnation started, if reported.
     pub started: Option<StartTime>,
     /// The models that it holds.
     pub models: Vec<HeldModel>,
-    /// Adapters on their way, as `model/adapter`.
+    /// Adapters being loaded, as `model/adapter`.
     pub pending: Vec<String>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
     /// Orders accepted since its start.
     pub sequence: u64,
-    /// Requests that run.
+    /// Running requests.
     pub active: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: u32,
     /// Memory for prompts in use, in thousandths.
     pub kv_share: u32,
-    /// Models with a copy in the instance's memory.
+    /// Models with cached weights in the instance's memory.
     pub in_memory: Vec<String>,
-    /// Models with a copy on the instance's disk.
+    /// Models with cached weights on the instance's disk.
     pub on_disk: Vec<String>,
 }
 
 impl EngineReport {
-    /// Whether the instance has a copy of a model, in memory or on disk.
+    /// Returns whether the instance has cached weights of a model, in memory or on disk.
     pub(crate) fn has_copy(&self, model: &str) -> bool {
         let copies = self.in_memory.iter().chain(&self.on_disk);
         copies.into_iter().any(|name| name == model)
     }
 }
 
-/// What an order does.
+/// Kinds of orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Fetch.
+    /// Load the model or adapter.
     Load,
-    /// Make way.
+    /// Unload the model or adapter.
     Unload,
 }
 
-/// One order.
+/// One order to the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Names the order at this side.
+    /// Number of the order, unique within this side.
     pub number: u64,
     /// What it does.
     pub kind: OrderKind,
     /// The model's name.
     pub model: String,
-    /// The adapter's own name, or empty.
+    /// The adapter's own name, or empty for the model itself.
     pub adapter: String,
-    /// Orders that the endpoint must have accepted before it.
+    /// Number of orders that the endpoint must have accepted before it.
     pub sequence: u64,
     /// The fencing token.
     pub token: u64,
-    /// The instance that is meant.
+    /// The instance that it is meant for.
     pub instance: String,
 }
 
-/// What the endpoint said to an order.
+/// The endpoint's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is under way, or holds already.
+    /// The order is in progress, or its result is already in place.
     Accepted,
-    /// Another is under way, or the sequence differs.
+    /// Another order is in progress, or the sequence differs.
     Conflict,
-    /// It will not be carried out.
+    /// The order will not be carried out.
     Rejected,
-    /// No answer came.
+    /// No answer was received.
     Unknown,
 }
 
-/// Names one entry's connection.
+/// Identifies the connection of one entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EntryLink(pub u64);
 
@@ -91,39 +91,40 @@
     }
 }
 
-/// What happens at a side.
+/// Events that a side handles.
 #[derive(Debug, Clone)]
 pub enum SideEvent {
-    /// A text was read from an entry.
+    /// A configuration was received from an entry.
     Text(Arc<ServingText>),
-    /// The endpoint told its state; `None` if it did not answer.
+    /// The endpoint reported its state; `None` if it did not answer.
     Report(Option<EngineReport>),
-    /// An entry asks for a model.
+    /// An entry requests a model or adapter.
     Want(EntryLink, Want),
-    /// An entry has sent a request to the endpoint.
+    /// An entry has dispatched a request to the endpoint, or found no replica with room for it.
     Used(Usage),
-    /// The endpoint answered an order; with its name if the order meant another start of it.
+    /// The endpoint answered an order; with its name if the order was meant for another
+    /// incarnation.
     Ordered(u64, OrderOutcome, Option<String>),
-    /// The endpoint has told the name of its present start.
+    /// The endpoint reported the name of its current incarnation.
     Named(String),
-    /// So many entries are connected.
+    /// The number of connected entries has changed to this.
     Entries(u32),
     /// Time has passed.
     Tick,
 }
 
-/// What a side does.
+/// Effects that a side asks for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SideEffect {
     /// Ask the endpoint for its state.
     Poll,
-    /// Ask the endpoint for the name of its present start, on this path.
+    /// Ask the endpoint for the name of its current incarnation, on this path.
     Identify(String),
-    /// Give an order.
+    /// Send an order to the endpoint.
     Order(Order),
-    /// Tell all entries.
+    /// Send the state to all entries.
     Publish(SideState),
-    /// Tell one entry that its want will not be met here.
+    /// Tell one entry that its load request is declined.
     Decline(EntryLink, ModelName),
     /// Write a log line.
     Log(LogEvent),
--- a/crates/pool/src/start.rs
+++ b/crates/pool/src/start.rs
@@ -1,68 +1,70 @@
-//! Which start of an endpoint a belief is of.
+//! Which incarnation of an endpoint a report belongs to.
 
 use citronrill_base::Millis;
 
-/// Milliseconds for which an older start has to be the last word before it is believed. An endpoint
-/// that lives writes to the list every 1,200, and the list is read every 900: what a start that is
-/// over has written late is written over by then.
-pub(crate) const SETTLE_MS: u64 = 2_500;
+/// Milliseconds for which an older start time has to be the latest one reported before it is
+/// accepted. A running endpoint writes to the member list every 1,200, and the list is read every
+/// 900: a late write of an earlier incarnation is overwritten by then.
+pub(crate) const OLDER_START_DELAY_MS: u64 = 2_500;
 
-/// When an endpoint has started, in Unix milliseconds by its own clock.
+/// When an endpoint's process started, in Unix milliseconds by its own clock.
 ///
-/// An endpoint may start again under the name that it had. This tells its starts apart.
+/// An endpoint may restart under the same name. This distinguishes its incarnations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StartTime(pub u64);
 
-/// What a word of an endpoint says about its start.
+/// How the incarnation of a report relates to the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum StartNews {
-    /// It is of the start that is known, or does not say.
+pub(crate) enum IncarnationChange {
+    /// It is the known incarnation, or the report has no start time.
     Same,
-    /// It is of another start, which is the present one.
+    /// It is a new incarnation, which is now the current one.
     New,
-    /// It is of a start that is over, as far as is known.
+    /// It is an incarnation that has presumably ended.
     Older,
 }
 
-/// The start that is believed to be the present one.
+/// The current incarnation, as far as is known.
 ///
-/// The failure it guards against: an endpoint crashes and starts again under its name, and a word of
-/// its last start arrives after the first one of the new start. Taken at its word, requests go to
-/// models that are no longer there, and orders rely on a count that has begun anew.
+/// Guards against this failure: an endpoint crashes and restarts under the same name, and a report
+/// of the previous incarnation arrives after the first one of the new incarnation. If it were
+/// accepted, requests would go to models that are no longer held, and orders would rely on a count
+/// that has been reset.
 ///
-/// An older start is believed once it has been the last word for [`SETTLE_MS`]: the clock of an
-/// instance may be set back, and its next start would else never be believed.
+/// An older start time is accepted once it has been the latest one for [`OLDER_START_DELAY_MS`]: the clock of
+/// an instance may be set back, and the next incarnation would otherwise never be accepted.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct KnownStart {
+pub(crate) struct KnownIncarnation {
     time: Option<StartTime>,
-    /// Whether the endpoint was heard without telling its start.
-    untold: bool,
-    /// An older start that was told, and when it was told first.
+    /// Whether the endpoint has sent a report without a start time.
+    without_time: bool,
+    /// An older start time that was reported, and when it was first reported.
     older: Option<(StartTime, Millis)>,
 }
 
-impl KnownStart {
-    /// The start, if any was told.
-    pub(crate) fn time(&self) -> Option<StartTime> {
+impl KnownIncarnation {
+    /// Returns the start time, if it is known.
+    pub(crate) fn start_time(&self) -> Option<StartTime> {
         self.time
     }
 
-    /// Takes the start that a word bears.
-    pub(crate) fn hear(&mut self, told: Option<StartTime>, now: Millis) -> StartNews {
-        let Some(told) = told else {
-            self.untold |= self.time.is_none();
-            return StartNews::Same;
+    /// Updates the known incarnation from the start time of a report.
+    pub(crate) fn update(&mut self, started: Option<StartTime>, now: Millis) -> IncarnationChange {
+        let Some(started) = started else {
+            self.without_time |= self.time.is_none();
+            return IncarnationChange::Same;
         };
-        let since = self.older.filter(|(older, _)| *older == told).map_or(now, |(_, at)| at);
-        let newer = self.time.is_none_or(|known| told >= known);
-        if !newer && now.since(since) < SETTLE_MS {
-            self.older = Some((told, since));
-            return StartNews::Older;
+        let since = self.older.filter(|(older, _)| *older == started).map_or(now, |(_, at)| at);
+        let newer = self.time.is_none_or(|known| started >= known);
+        if !newer && now.since(since) < OLDER_START_DELAY_MS {
+            self.older = Some((started, since));
+            return IncarnationChange::Older;
         }
-        // One that did not tell its start and now does is another program, and so another start.
-        let first = self.time.is_none() && !self.untold;
-        let same = first || self.time == Some(told);
-        *self = KnownStart { time: Some(told), ..KnownStart::default() };
-        if same { StartNews::Same } else { StartNews::New }
+        // An endpoint that first reports no start time and later does is another program, and so
+        // another incarnation.
+        let first = self.time.is_none() && !self.without_time;
+        let same = first || self.time == Some(started);
+        *self = KnownIncarnation { time: Some(started), ..KnownIncarnation::default() };
+        if same { IncarnationChange::Same } else { IncarnationChange::New }
     }
 }
--- a/crates/pool/src/tally.rs
+++ b/crates/pool/src/tally.rs
@@ -1,8 +1,8 @@
-//! Counts that fade.
+//! Exponentially decaying counts.
 
 use citronrill_base::Millis;
 
-/// A count that decays.
+/// An exponentially decaying count.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Tally {
     weight: f64,
@@ -10,12 +10,12 @@
 }
 
 impl Tally {
-    /// What is left of the count, where each loses weight to 1/e in `decay_ms`.
+    /// Returns the count at `now`, where each event decays to 1/e in `decay_ms`.
     pub(crate) fn decayed(&self, decay_ms: f64, now: Millis) -> f64 {
         self.weight * (-(now.since(self.at) as f64) / decay_ms).exp()
     }
 
-    /// Counts one more.
+    /// Counts one event.
     pub(crate) fn add(&mut self, decay_ms: f64, now: Millis) {
         *self = Tally { weight: self.decayed(decay_ms, now) + 1.0, at: now };
     }
--- a/crates/pool/src/text.rs
+++ b/crates/pool/src/text.rs
@@ -1,49 +1,50 @@
-//! The operators' text in force, as the decisions need it.
+//! The configuration in force, in the form that the decisions need.
 //!
-//! The adapter decodes whatever format an installation uses into these types; nothing here knows
+//! The adapter of an installation decodes its format into these types; nothing here depends on
 //! names on the wire.
 
-/// One version of the text: which routes lead to which services, and what the services hold.
+/// One version of the configuration: which routes lead to which services, and what the services can
+/// hold.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServingText {
-    /// The version; it only rises.
+    /// The version; it only increases.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// What a caller may send.
+    /// Limits for callers.
     pub limits: CallerLimits,
 }
 
 impl ServingText {
-    /// The route for `host` and `path`: the one with the longest prefix wins.
+    /// Returns the route for `host` and `path`: the one with the longest prefix wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let fits = |route: &&Route| route.host == host && path.starts_with(&route.prefix);
         self.routes.iter().filter(fits).max_by_key(|route| route.prefix.len())
     }
 
-    /// The service of this name.
+    /// Returns the service of this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 }
 
-/// Bounds on what a caller may send, and on how long it may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head at most.
+    /// Maximum bytes of a request's head.
     pub header_bytes: usize,
-    /// Bytes of a request's body at most.
+    /// Maximum bytes of a request's body.
     pub body_bytes: usize,
-    /// Milliseconds from a head's first byte to its last at most.
+    /// Maximum milliseconds from a head's first byte to its last.
     pub header_ms: u64,
-    /// Milliseconds that a kept connection may stay idle.
+    /// Milliseconds for which a keep-alive connection may stay idle.
     pub idle_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Used until a text is known: small enough to be safe with any text.
+    /// Used until a configuration is known: small enough to be safe with any configuration.
     fn default() -> CallerLimits {
         CallerLimits {
             header_bytes: 16 << 10,
@@ -54,26 +55,26 @@
     }
 }
 
-/// What may be repeated when an attempt fails.
+/// What may be retried when an attempt fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
     /// The request may run any number of times.
     Idempotent,
-    /// The request may run once at most.
+    /// The request may run at most once.
     Once,
-    /// A stream of events that runs once at most.
+    /// An event stream that runs at most once.
     Stream,
-    /// A stream of events that may go on at another endpoint after the last event delivered.
+    /// An event stream that may be resumed on another endpoint after the last event delivered.
     ResumableStream,
 }
 
 impl Repeat {
-    /// Whether a second run may follow one that may have begun.
+    /// Returns whether a second attempt may follow one that may have begun.
     pub fn may_rerun(self) -> bool {
         matches!(self, Repeat::Idempotent | Repeat::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Repeat::Stream | Repeat::ResumableStream)
     }
@@ -86,21 +87,21 @@
     pub name: String,
     /// The host that callers name.
     pub host: String,
-    /// What the path begins with.
+    /// The path prefix.
     pub prefix: String,
-    /// What may be repeated.
+    /// What may be retried.
     pub repeat: Repeat,
-    /// Milliseconds after which a request is ended.
+    /// Milliseconds after which a request is terminated.
     pub timeout_ms: u64,
     /// The latency objective, in milliseconds.
     pub target_ms: u64,
-    /// The longest pause between a stream's events that is on time, in milliseconds, if declared.
+    /// The longest acceptable gap between two events of a stream, in milliseconds, if declared.
     pub gap_ms: Option<u64>,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
     /// Services and their weights.
     pub shares: Vec<(String, u32)>,
-    /// Endpoints that may run one request, at most.
+    /// Maximum number of endpoints that may run one request.
     pub attempts: u32,
 }
 
@@ -109,26 +110,26 @@
 pub struct Service {
     /// The service's name.
     pub name: String,
-    /// The path on which an endpoint says that it is healthy, and names itself; may be empty.
+    /// The path of the health check, on which an endpoint also reports its name; may be empty.
     pub health: String,
-    /// Connections that one endpoint takes from all callers.
+    /// Connections that one endpoint accepts from all callers.
     pub connections: u32,
-    /// Set where the endpoints are model engines.
+    /// Set if the endpoints are model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What one engine can hold, and which models it may be asked for.
+/// Capacity of one engine, and the models that can be requested from it.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct EngineSpec {
-    /// Requests run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Memory for weights and adapters, in MB.
     pub weights_mb: f64,
-    /// Adapters held at once at most.
+    /// Maximum number of adapters held at once.
     pub adapter_limit: u32,
     /// Loads a second that the weight store allows, over all engines.
     pub loads_per_s: f64,
-    /// Whether an engine can copy the memory of a run to another while it runs.
+    /// Whether an engine can copy the memory of a run to another engine while it runs.
     pub backups: bool,
     /// Bytes of a run's memory for each token.
     pub token_bytes: u64,
@@ -137,14 +138,14 @@
 }
 
 impl EngineSpec {
-    /// The model of this name.
+    /// Returns the model of this name.
     pub fn model(&self, name: &str) -> Option<&ModelSpec> {
         self.models.iter().find(|model| model.name == name)
     }
 }
 
-/// Time of a load from the weight store, in thousandths of its usual one, from which it is late, as the store
-/// had too many at once.
+/// Duration of a load from the weight store, in thousandths of its usual duration, from which it
+/// counts as late because too many loads were concurrent.
 pub(crate) const LATE_LOAD: u32 = 1_200;
 
 /// One model.
