--- a/crates/gateway/src/board.rs
+++ b/crates/gateway/src/board.rs
@@ -1,5 +1,5 @@
-//! What this process knows of the platform: the text and the list of endpoints as last read, from the store or
-//! from peers, for all who pass them on.
+//! The process's view of the platform: the configuration and the member list as last read from the
+//! platform store or from peers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,95 +13,98 @@
 use tokio::sync::watch;
 
 use crate::{
-    copies::Copies,
+    copies::ConfigTransfer,
     dialect::{Dialect, RowPage, RowValue, StoreRow, Table},
-    entry::{Events, ReadText},
+    entry::{EventSender, LoadedConfig},
 };
 
-/// Rows of the list that cannot be read and are named in the log, at most: whoever writes them may
-/// write thousands.
-const UNREADABLE_LIMIT: usize = 64;
-/// Characters of a decoder's reason that are logged at most; it may cite what it read.
-const REASON_LIMIT: usize = 160;
+/// Maximum number of undecodable member list rows that are logged by key; other writers of the
+/// list may write thousands.
+const MAX_LOGGED_UNREADABLE: usize = 64;
+/// Maximum number of logged characters of a decoder's error, which may quote its input.
+const MAX_REASON_CHARS: usize = 160;
 
-/// Text and list as last read, for all who pass them on.
+/// The configuration and the member list as last read, shared by the tasks that read them.
 #[derive(Clone)]
-pub(crate) struct Board {
+pub(crate) struct PlatformView {
     dialect: Arc<dyn Dialect>,
-    events: Events,
-    copies: Copies<SocketAddr>,
-    sender: Arc<watch::Sender<Option<ReadText>>>,
-    /// Marked when the store answers for a table again for which it did not.
+    events: EventSender,
+    transfer: ConfigTransfer<SocketAddr>,
+    config: Arc<watch::Sender<Option<LoadedConfig>>>,
+    /// Notified when the store answers again for a table after an outage.
     regained: Arc<watch::Sender<()>>,
-    list: Arc<Mutex<List>>,
+    members: Arc<Mutex<MemberList>>,
 }
 
-/// The list of endpoints, as the platform keeps it.
+/// The member list, encoded as in the platform store.
 #[derive(Default)]
-struct List {
-    /// 0 until it was read.
+struct MemberList {
+    /// 0 until the list was read.
     version: u64,
     rows: BTreeMap<String, Vec<u8>>,
-    /// Keys of rows that could not be read and were logged.
+    /// Keys of undecodable rows that were logged.
     unreadable: BTreeSet<String>,
 }
 
-impl List {
-    /// Logs a row that cannot be read: once, until it can be, and for so many rows at most.
-    fn note_unreadable(&mut self, key: &str, reason: &str) {
-        let room = self.unreadable.len() < UNREADABLE_LIMIT;
+impl MemberList {
+    /// Logs an undecodable row once until it can be decoded again, and at most
+    /// [`MAX_LOGGED_UNREADABLE`] rows.
+    fn log_unreadable(&mut self, key: &str, reason: &str) {
+        let room = self.unreadable.len() < MAX_LOGGED_UNREADABLE;
         if room && self.unreadable.insert(key.to_owned()) {
-            let reason = reason.chars().take(REASON_LIMIT).collect::<String>();
+            let reason = reason.chars().take(MAX_REASON_CHARS).collect::<String>();
             log::warn!("event=member_unreadable instance={key:?} error={reason:?}");
         }
     }
 }
 
-impl Board {
+impl PlatformView {
     pub(crate) fn new(
         dialect: Arc<dyn Dialect>,
-        events: Events,
-        copies: Copies<SocketAddr>,
-    ) -> Board {
-        let sender = Arc::new(watch::Sender::new(None));
+        events: EventSender,
+        transfer: ConfigTransfer<SocketAddr>,
+    ) -> PlatformView {
+        let config = Arc::new(watch::Sender::new(None));
         let regained = Arc::new(watch::Sender::new(()));
-        Board { dialect, events, copies, sender, regained, list: Arc::default() }
+        PlatformView { dialect, events, transfer, config, regained, members: Arc::default() }
     }
 
-    /// Takes the bytes of a text, from the store or a peer; an older one changes nothing.
-    pub(crate) fn offer(&self, bytes: &[u8], source: &str) {
-        let text = match self.dialect.text(bytes) {
-            Ok(text) => text,
+    /// Decodes a configuration from the store or a peer and keeps it if it is newer.
+    pub(crate) fn offer_config(&self, bytes: &[u8], source: &str) {
+        let config = match self.dialect.text(bytes) {
+            Ok(config) => config,
             Err(error) => {
                 log::warn!("event=text_unreadable source={source} error=\"{error}\"");
                 return;
             }
         };
-        let copy = TextCopy { version: text.version, bytes: bytes.to_vec() };
-        let read = ReadText { copy, text: Arc::new(text) };
-        let newer = self.sender.send_if_modified(|held| {
-            let newer = held.as_ref().is_none_or(|held| held.copy.version < read.copy.version);
+        let encoded = TextCopy { version: config.version, bytes: bytes.to_vec() };
+        let loaded = LoadedConfig { encoded, config: Arc::new(config) };
+        let newer = self.config.send_if_modified(|current| {
+            let newer = current
+                .as_ref()
+                .is_none_or(|current| current.encoded.version < loaded.encoded.version);
             if newer {
-                *held = Some(read.clone());
+                *current = Some(loaded.clone());
             }
             newer
         });
         if newer {
-            let (version, size) = (read.copy.version, read.copy.bytes.len());
+            let (version, size) = (loaded.encoded.version, loaded.encoded.bytes.len());
             log::info!("event=text_read source={source} version={version} bytes={size}");
-            self.copies.tell(CopyEvent::Own(version));
-            self.events.send(EntryEvent::Text(read.text));
+            self.transfer.send_event(CopyEvent::Own(version));
+            self.events.send(EntryEvent::Text(loaded.config));
         }
     }
 
-    /// Takes rows that the store has given; with `whole`, they are the whole table.
-    pub(crate) fn take(&self, table: Table, page: RowPage, whole: bool) {
+    /// Applies rows from the store; with `whole`, they are the whole table.
+    pub(crate) fn apply_rows(&self, table: Table, page: RowPage, whole: bool) {
         match table {
             Table::Text => {
-                let texts = page.rows.iter().filter(|row| self.dialect.is_text(&row.key));
-                for row in texts {
+                let configs = page.rows.iter().filter(|row| self.dialect.is_text(&row.key));
+                for row in configs {
                     match &row.value {
-                        RowValue::Bytes(bytes) => self.offer(bytes, "store"),
+                        RowValue::Bytes(bytes) => self.offer_config(bytes, "store"),
                         RowValue::Removed => log::warn!("event=text_removed source=store"),
                         RowValue::Unreadable(reason) => {
                             log::warn!("event=text_unreadable source=store error={reason:?}");
@@ -109,60 +112,60 @@
                     }
                 }
             }
-            Table::Members => self.take_list(page.version, whole, page.rows),
+            Table::Members => self.apply_members(page.version, whole, page.rows),
         }
     }
 
-    /// Says whether the store answers for the text.
-    pub(crate) fn tell_current(&self, current: bool) {
+    /// Reports whether the store has confirmed that the configuration is current.
+    pub(crate) fn set_config_current(&self, current: bool) {
         self.events.send(EntryEvent::TextCurrent(current));
     }
 
-    /// The store answers for a table again for which it did not.
-    pub(crate) fn mark_regained(&self) {
+    /// Notifies pending calls that the store answers again for a table after an outage.
+    pub(crate) fn notify_regained(&self) {
         self.regained.send_replace(());
     }
 
-    /// Ends when the store, from now on, answers for a table again for which it did not.
-    pub(crate) fn regained(&self) -> impl Future<Output = ()> + use<> {
+    /// Completes the next time that the store answers again for a table after an outage.
+    pub(crate) fn wait_regained(&self) -> impl Future<Output = ()> + use<> {
         let mut regained = self.regained.subscribe();
         async move {
-            // A board that is gone has nothing to say any more.
+            // Without its sender there are no more notifications.
             if regained.changed().await.is_err() {
                 pending::<()>().await;
             }
         }
     }
 
-    /// Bytes of the text arrive from the store: no peer is to be asked for a copy.
-    pub(crate) fn text_arrives(&self) {
-        self.copies.tell(CopyEvent::Progress);
+    /// Reports that the configuration is arriving from the store, so no peer needs to be asked for it.
+    pub(crate) fn report_store_progress(&self) {
+        self.transfer.send_event(CopyEvent::Progress);
     }
 
-    /// Follows the text.
-    pub(crate) fn follow(&self) -> watch::Receiver<Option<ReadText>> {
-        self.sender.subscribe()
+    /// Subscribes to changes of the configuration.
+    pub(crate) fn subscribe_config(&self) -> watch::Receiver<Option<LoadedConfig>> {
+        self.config.subscribe()
     }
 
-    /// Takes rows of the list; with `whole`, those that are missing are gone.
-    fn take_list(&self, version: u64, whole: bool, rows: Vec<StoreRow>) {
-        let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Applies rows of the member list; with `whole`, members without a row are removed.
+    fn apply_members(&self, version: u64, whole: bool, rows: Vec<StoreRow>) {
+        let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         if whole {
-            list.rows.clear();
+            members.rows.clear();
         }
-        list.version = list.version.max(version);
-        let rows = rows.into_iter().map(|row| self.take_row(&mut list, row)).collect();
-        drop(list);
+        members.version = members.version.max(version);
+        let rows = rows.into_iter().map(|row| self.apply_row(&mut members, row)).collect();
+        drop(members);
         self.events.send(EntryEvent::Members(MemberChange { whole, version, rows }));
     }
 
-    /// Takes one row of the list.
+    /// Applies one row of the member list.
     ///
-    /// Others than the endpoints write rows, too. One that cannot be read names no endpoint to use,
-    /// also where the row was good before, and peers are not told of it.
-    fn take_row(&self, list: &mut List, row: StoreRow) -> (String, Option<Member>) {
+    /// Not only endpoints write rows. A row that cannot be decoded removes its endpoint, even if an
+    /// earlier version of the row was valid, and is not sent to peers.
+    fn apply_row(&self, members: &mut MemberList, row: StoreRow) -> (String, Option<Member>) {
         let StoreRow { key, value } = row;
-        let read = match value {
+        let decoded = match value {
             RowValue::Removed => Ok(None),
             RowValue::Bytes(bytes) => match self.dialect.member(&key, &bytes) {
                 Ok(member) => Ok(Some((member, bytes))),
@@ -170,66 +173,66 @@
             },
             RowValue::Unreadable(reason) => Err(reason),
         };
-        list.rows.remove(&key);
-        match read {
+        members.rows.remove(&key);
+        match decoded {
             Ok(found) => {
-                list.unreadable.remove(&key);
+                members.unreadable.remove(&key);
                 let (member, bytes) = found.unzip();
-                list.rows.extend(bytes.map(|bytes| (key.clone(), bytes)));
+                members.rows.extend(bytes.map(|bytes| (key.clone(), bytes)));
                 (key, member)
             }
             Err(reason) => {
-                list.note_unreadable(&key, &reason);
+                members.log_unreadable(&key, &reason);
                 (key, None)
             }
         }
     }
 
-    /// Whether text and list are known.
-    pub(crate) fn complete(&self) -> bool {
-        let listed = self.list.lock().unwrap_or_else(PoisonError::into_inner).version > 0;
-        listed && self.sender.borrow().is_some()
+    /// Returns whether both the configuration and the member list are known.
+    pub(crate) fn is_complete(&self) -> bool {
+        let members_known = self.members.lock().unwrap_or_else(PoisonError::into_inner).version > 0;
+        members_known && self.config.borrow().is_some()
     }
 
-    /// The version of the text; 0 if none is known.
-    pub(crate) fn text_version(&self) -> u64 {
-        self.sender.borrow().as_ref().map_or(0, |read| read.copy.version)
+    /// Returns the version of the configuration; 0 if none is known.
+    pub(crate) fn config_version(&self) -> u64 {
+        self.config.borrow().as_ref().map_or(0, |loaded| loaded.encoded.version)
     }
 
-    /// Answers a peer's question for the text.
-    pub(crate) fn answer(&self, peer: SocketAddr, ask: &TextAsk) -> TextPart {
-        let held = self.sender.borrow();
-        self.copies.answer(peer, ask, held.as_ref().map(|read| &read.copy))
+    /// Answers a peer's request for a chunk of the configuration.
+    pub(crate) fn config_chunk(&self, peer: SocketAddr, request: &TextAsk) -> TextPart {
+        let config = self.config.borrow();
+        self.transfer.serve_chunk(peer, request, config.as_ref().map(|loaded| &loaded.encoded))
     }
 
-    /// The connection to a peer that may have asked has ended.
-    pub(crate) fn peer_gone(&self, peer: SocketAddr) {
-        self.copies.gone(peer);
+    /// Handles the end of a connection to a peer that may have requested chunks.
+    pub(crate) fn peer_disconnected(&self, peer: SocketAddr) {
+        self.transfer.disconnect(peer);
     }
 
-    /// What a peer is told; nothing while either is unknown.
+    /// Returns the snapshot for a peer; `None` until configuration and member list are known.
     pub(crate) fn snapshot(&self) -> Option<Snapshot> {
-        let text = self.text_version();
-        let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = text > 0 && list.version > 0;
-        let rows = list.rows.iter();
+        let config = self.config_version();
+        let members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
+        let known = config > 0 && members.version > 0;
+        let rows = members.rows.iter();
         let rows = rows.map(|(name, bytes)| MemberRow { name: name.clone(), bytes: bytes.clone() });
-        known.then(|| Snapshot { text, list: list.version, members: rows.collect() })
+        known.then(|| Snapshot { text: config, list: members.version, members: rows.collect() })
     }
 
-    /// Takes what a peer believes, where the store has told nothing yet.
-    pub(crate) fn take_snapshot(&self, snapshot: Snapshot, peer: SocketAddr) {
+    /// Applies a peer's member list if none has been read from the store yet.
+    pub(crate) fn apply_snapshot(&self, snapshot: Snapshot, peer: SocketAddr) {
         let (version, count) = (snapshot.list, snapshot.members.len());
         if version == 0 {
             return;
         }
         log::info!("event=snapshot_read peer={peer} list={version} members={count}");
-        let unread = self.list.lock().unwrap_or_else(PoisonError::into_inner).version == 0;
+        let unread = self.members.lock().unwrap_or_else(PoisonError::into_inner).version == 0;
         if unread {
             let rows = snapshot.members.into_iter();
             let rows =
                 rows.map(|row| StoreRow { key: row.name, value: RowValue::Bytes(row.bytes) });
-            self.take_list(version, true, rows.collect());
+            self.apply_members(version, true, rows.collect());
         }
     }
 }
--- a/crates/gateway/src/copies.rs
+++ b/crates/gateway/src/copies.rs
@@ -1,4 +1,4 @@
-//! Carrying copies of the operators' text over the connections between entries and sides.
+//! Transfers the configuration over the connections between entries and sides.
 
 use std::{
     fmt::Display,
@@ -14,91 +14,100 @@
     time::{Duration, sleep_until},
 };
 
-/// What names a peer.
+/// Identifies a peer.
 pub(crate) trait Peer: Copy + Ord + Display + Send + 'static {}
 
 impl<P: Copy + Ord + Display + Send + 'static> Peer for P {}
 
-/// The way to the task that fetches copies, and the server of those that this process has.
-pub(crate) struct Copies<P> {
+/// Sends events to the task that fetches the configuration, and serves chunks of it to peers.
+pub(crate) struct ConfigTransfer<P> {
     events: UnboundedSender<CopyEvent<P>>,
     server: Arc<Mutex<CopyServer<P>>>,
     start: Instant,
 }
 
-impl<P> Clone for Copies<P> {
-    fn clone(&self) -> Copies<P> {
-        Copies { events: self.events.clone(), server: self.server.clone(), start: self.start }
+impl<P> Clone for ConfigTransfer<P> {
+    fn clone(&self) -> ConfigTransfer<P> {
+        ConfigTransfer {
+            events: self.events.clone(),
+            server: self.server.clone(),
+            start: self.start,
+        }
     }
 }
 
-impl<P: Peer> Copies<P> {
-    /// Both ends of the way to the task.
-    pub(crate) fn new() -> (Copies<P>, UnboundedReceiver<CopyEvent<P>>) {
+impl<P: Peer> ConfigTransfer<P> {
+    /// Creates a transfer and the receiver for [`run_config_fetch`].
+    pub(crate) fn new() -> (ConfigTransfer<P>, UnboundedReceiver<CopyEvent<P>>) {
         let (events, inputs) = unbounded_channel();
-        (Copies { events, server: Arc::default(), start: Instant::now() }, inputs)
+        (ConfigTransfer { events, server: Arc::default(), start: Instant::now() }, inputs)
     }
 
-    /// Tells the task.
-    pub(crate) fn tell(&self, event: CopyEvent<P>) {
+    /// Sends an event to the fetching task.
+    pub(crate) fn send_event(&self, event: CopyEvent<P>) {
         if self.events.send(event).is_err() {
             log::debug!("event=copies_gone");
         }
     }
 
-    /// A connection to a peer has ended.
-    pub(crate) fn gone(&self, peer: P) {
-        self.serving(|server, _| server.gone(peer));
-        self.tell(CopyEvent::Gone(peer));
+    /// Handles the end of a connection to a peer.
+    pub(crate) fn disconnect(&self, peer: P) {
+        self.with_server(|server, _| server.gone(peer));
+        self.send_event(CopyEvent::Gone(peer));
     }
 
-    /// Answers a peer's question from the text that this process has.
-    pub(crate) fn answer(&self, peer: P, ask: &TextAsk, copy: Option<&TextCopy>) -> TextPart {
-        let part = self.serving(|server, now| server.answer(now, peer, ask, copy));
-        if !part.bytes.is_empty() && is_last(&part) {
-            log::info!("event=text_sent to={peer} version={} bytes={}", part.version, part.total);
+    /// Answers a peer's request for a chunk of this process's configuration.
+    pub(crate) fn serve_chunk(
+        &self,
+        peer: P,
+        request: &TextAsk,
+        config: Option<&TextCopy>,
+    ) -> TextPart {
+        let chunk = self.with_server(|server, now| server.answer(now, peer, request, config));
+        if !chunk.bytes.is_empty() && is_last(&chunk) {
+            log::info!("event=text_sent to={peer} version={} bytes={}", chunk.version, chunk.total);
         }
-        part
+        chunk
     }
 
-    fn serving<T>(&self, serve: impl FnOnce(&mut CopyServer<P>, Millis) -> T) -> T {
+    fn with_server<T>(&self, serve: impl FnOnce(&mut CopyServer<P>, Millis) -> T) -> T {
         let now = Millis(self.start.elapsed().as_millis() as u64);
         serve(&mut self.server.lock().unwrap_or_else(PoisonError::into_inner), now)
     }
 }
 
-/// Fetches copies from peers until all ways to it are closed.
+/// Fetches the configuration from peers until all senders of events are dropped.
 ///
-/// `ask` sends a question to a peer; `take` is given each whole text.
-pub(crate) async fn fetch_copies<P: Peer>(
-    patience: CopyPatience,
+/// `request_chunk` sends a request to a peer; `apply` is called with each complete configuration.
+pub(crate) async fn run_config_fetch<P: Peer>(
+    sources: CopyPatience,
     seed: u64,
     mut inputs: UnboundedReceiver<CopyEvent<P>>,
-    ask: impl Fn(P, TextAsk),
-    take: impl Fn(TextCopy),
+    request_chunk: impl Fn(P, TextAsk),
+    apply: impl Fn(TextCopy),
 ) {
-    let mut fetch = CopyFetch::new(patience, seed);
+    let mut fetch = CopyFetch::new(sources, seed);
     let start = tokio::time::Instant::now();
     let now = || Millis(start.elapsed().as_millis() as u64);
     loop {
-        let wake = fetch.wake().map(|at| start + Duration::from_millis(at.0));
+        let next_tick = fetch.wake().map(|at| start + Duration::from_millis(at.0));
         let event = tokio::select! {
             event = inputs.recv() => match event {
                 Some(event) => event,
                 None => return,
             },
-            () = until(wake) => CopyEvent::Tick,
+            () = wait_until(next_tick) => CopyEvent::Tick,
         };
         for effect in fetch.step(now(), event) {
             match effect {
-                CopyEffect::Ask(peer, question) => ask(peer, question),
-                CopyEffect::Whole(peer, copy) => {
-                    let (version, bytes) = (copy.version, copy.bytes.len());
+                CopyEffect::Ask(peer, request) => request_chunk(peer, request),
+                CopyEffect::Whole(peer, config) => {
+                    let (version, bytes) = (config.version, config.bytes.len());
                     log::info!("event=text_copied from={peer} version={version} bytes={bytes}");
-                    take(copy);
+                    apply(config);
                 }
-                CopyEffect::Silent(peer, question) => {
-                    let TextAsk { version, offset } = question;
+                CopyEffect::Silent(peer, request) => {
+                    let TextAsk { version, offset } = request;
                     log::info!("event=copy_silent from={peer} version={version} offset={offset}");
                 }
             }
@@ -106,10 +115,10 @@
     }
 }
 
-/// Waits for a moment, or for ever if there is none.
-async fn until(moment: Option<tokio::time::Instant>) {
-    match moment {
-        Some(moment) => sleep_until(moment).await,
+/// Waits until `deadline`, or forever if there is none.
+async fn wait_until(deadline: Option<tokio::time::Instant>) {
+    match deadline {
+        Some(deadline) => sleep_until(deadline).await,
         None => std::future::pending().await,
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How a platform spells what the processes say to it.
+//! The interface to a platform's HTTP calls, headers and encodings.
 
 use citronrill_pool::{
     AnswerHead, EngineReport, Member, Order, OrderOutcome, Sending, ServingText, TokenCount,
@@ -6,52 +6,52 @@
 use hyper::{HeaderMap, StatusCode};
 use thiserror::Error;
 
-/// Why something that the platform said could not be read.
+/// Error decoding data of the platform.
 #[derive(Debug, Error)]
 pub enum DialectError {
-    /// A body has not the expected shape.
+    /// A body is malformed.
     #[error("unreadable {what}: {reason}")]
     Shape {
-        /// What was read.
+        /// What was decoded.
         what: &'static str,
-        /// What the decoder said.
+        /// Error of the decoder.
         reason: String,
     },
 }
 
-/// What a process reads from the store.
+/// A table of the platform store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Table {
-    /// The operators' text.
+    /// The configuration.
     Text,
-    /// The list of endpoints.
+    /// The member list.
     Members,
 }
 
-/// One row of the store.
+/// A row of the platform store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreRow {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// What it holds.
+    /// Value of the row.
     pub value: RowValue,
 }
 
-/// What a row of the store holds.
+/// Value of a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowValue {
-    /// Nothing: it was removed.
+    /// None: the row was removed.
     Removed,
-    /// These bytes.
+    /// The decoded bytes.
     Bytes(Vec<u8>),
-    /// Something that cannot be decoded, for this reason.
+    /// A value that cannot be decoded, with the error.
     Unreadable(String),
 }
 
-/// Rows as read.
+/// Rows of one response of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RowPage {
-    /// The store's version at the read.
+    /// Version of the store when the rows were read.
     pub version: u64,
     /// The rows.
     pub rows: Vec<StoreRow>,
@@ -59,69 +59,69 @@
     pub truncated: bool,
 }
 
-/// What a caller's request says of itself.
+/// Metadata of a caller's request, from its headers.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RequestMeta {
-    /// The caller's name for the request.
+    /// Request ID assigned by the caller.
     pub caller: String,
-    /// Milliseconds that the caller will wait.
+    /// Milliseconds until the caller's deadline, if it sets one.
     pub deadline_ms: Option<u64>,
-    /// The model, and an adapter after a slash.
+    /// Name of the model, followed by a slash and the adapter's name if one is requested.
     pub model: String,
-    /// A hash of the first part of the prompt; 0 if none is told.
+    /// Hash of the first part of the prompt; 0 if unknown.
     pub prefix: u64,
-    /// How long the request is.
+    /// Token counts of the request.
     pub tokens: TokenCount,
 }
 
-/// An order as an HTTP call.
+/// An order, encoded as an HTTP call.
 #[derive(Debug, Clone)]
 pub struct OrderCall {
-    /// The path.
+    /// Path of the call.
     pub path: &'static str,
     /// Headers to set.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body of the call.
     pub body: Vec<u8>,
 }
 
-/// Names, formats and calls of one platform.
+/// HTTP calls, headers and encodings of a platform.
 pub trait Dialect: Send + Sync {
-    /// The path that reads a whole table from `from` on.
+    /// Returns the path that reads a table from key `from`, or from its beginning.
     fn read_path(&self, table: Table, from: Option<&str>) -> String;
 
-    /// The path that waits for changes after `version`, `wait_ms` at most.
+    /// Returns the path that long-polls for changes after `version`, for at most `wait_ms`.
     fn watch_path(&self, table: Table, version: u64, wait_ms: u64) -> String;
 
-    /// Reads the answer to either.
+    /// Decodes the response to a call of either path.
     ///
     /// # Errors
-    /// The body is not what the platform's pages say.
+    /// The body is malformed.
     fn rows(&self, body: &[u8]) -> Result<RowPage, DialectError>;
 
-    /// Whether a row of [`Table::Text`] is the text.
+    /// Returns whether a row of [`Table::Text`] is the configuration.
     fn is_text(&self, key: &str) -> bool;
 
-    /// Reads the operators' text.
+    /// Decodes the configuration.
     ///
     /// # Errors
-    /// The bytes are not a text.
+    /// The bytes are not a valid configuration.
     fn text(&self, bytes: &[u8]) -> Result<ServingText, DialectError>;
 
-    /// Reads one endpoint's entry.
+    /// Decodes the member list row of an endpoint.
     ///
     /// # Errors
-    /// The bytes are not an entry.
+    /// The bytes are not a valid row.
     fn member(&self, key: &str, bytes: &[u8]) -> Result<Member, DialectError>;
 
-    /// What a caller's request says of itself.
+    /// Extracts the metadata of a caller's request.
     fn request(&self, headers: &HeaderMap) -> RequestMeta;
 
-    /// Turns a caller's headers into those that go to an endpoint.
-    fn forward(&self, headers: &mut HeaderMap, sending: &Sending);
+    /// Rewrites a caller's headers for the endpoint that the request is sent to.
+    fn forward(&self, headers: &mut HeaderMap, dispatch: &Sending);
 
-    /// Reads the head of an endpoint's answer to the request that its caller names `caller`, which
-    /// was sent to `instance`.
+    /// Decodes the head of an endpoint's response to the request with ID `caller`, which was sent to
+    /// `instance`.
     fn answer(
         &self,
         status: StatusCode,
@@ -130,21 +130,22 @@
         instance: &str,
     ) -> AnswerHead;
 
-    /// Spells an order of `holder`.
+    /// Encodes an order sent by `holder`, the name of the side that gives it.
     fn order(&self, order: &Order, holder: &str) -> OrderCall;
 
-    /// Reads what the endpoint said to an order; with its name if the order meant another start.
+    /// Decodes an endpoint's response to an order; with the name of its incarnation if the order expected
+    /// another one.
     fn ordered(&self, status: StatusCode, headers: &HeaderMap) -> (OrderOutcome, Option<String>);
 
-    /// The name of the start of an endpoint that an answer bears.
+    /// Returns the name of the endpoint's incarnation from the headers of its response.
     fn named(&self, headers: &HeaderMap) -> Option<String>;
 
-    /// The path of an endpoint's state.
+    /// Returns the path of an endpoint's state report.
     fn report_path(&self) -> &'static str;
 
-    /// Reads an endpoint's state.
+    /// Decodes an endpoint's state report.
     ///
     /// # Errors
-    /// The body is not a state.
+    /// The body is not a valid report.
     fn report(&self, body: &[u8]) -> Result<EngineReport, DialectError>;
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry process: its control thread, and what it starts on the traffic runtime.
+//! The entry process: its control thread and the tasks on its `tokio` runtime.
 
 use std::{
     collections::BTreeMap,
@@ -22,51 +22,50 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::{
-    board::Board,
-    copies::{Copies, fetch_copies},
+    board::PlatformView,
+    copies::{ConfigTransfer, run_config_fetch},
     dialect::{Dialect, Table},
     error::GatewayError,
-    front::{Front, listen, serve},
-    logs::{LogBudget, LogStats},
+    front::{CallerServer, listen, serve},
+    logs::{LogRateLimit, LogStats},
     metrics::{EntryMetrics, serve_metrics},
-    seeds::{ask_seeds, serve_seeds},
+    seeds::{bootstrap_from_seeds, serve_snapshots},
     sides::{SideCommand, run_sides},
     store::watch_table,
 };
 
-/// Milliseconds between looks at the clock while requests are in hand: a request's end is met
-/// within this, far below any objective.
+/// Milliseconds between deadline checks while requests are in flight. It bounds how late a deadline is
+/// detected and is far below any latency objective.
 const BUSY_TICK_MS: u64 = 20;
-/// Milliseconds between looks at rest.
+/// Milliseconds between deadline checks while no request is in flight.
 const IDLE_TICK_MS: u64 = 200;
-/// Milliseconds of a planned stop during which new connections are still taken: the balancer needs
-/// two missed questions, a second apart, before it sends callers elsewhere.
-const HAND_OVER_MS: u64 = 2_600;
-/// Milliseconds of a planned stop that are left for the process's own end.
-const STOP_SLACK_MS: u64 = 500;
+/// Milliseconds of a planned stop during which new connections are still accepted: the load balancer
+/// needs two failed readiness checks, a second apart, before it stops routing to this entry.
+const ACCEPT_MS: u64 = 2_600;
+/// Milliseconds of a planned stop that are reserved for ending the process itself.
+const EXIT_RESERVE_MS: u64 = 500;
 
-/// What the control thread tells a request's task.
+/// Command of the control thread to the task of a request.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Send it there.
-    Send(Sending),
-    /// Give the endpoint's answer.
-    Pass,
-    /// Give an answer of the system's own.
+    /// Dispatch the request to an endpoint.
+    Dispatch(Sending),
+    /// Forward the endpoint's response to the caller.
+    Forward,
+    /// Respond with a refusal.
     Refuse(Refusal),
-    /// Break the answer off.
-    Cut,
-    /// Leave the endpoint as if it had broken the stream off.
-    Abandon,
+    /// Abort the response.
+    Abort,
+    /// Disconnect from the endpoint, as if it had broken off the stream.
+    Disconnect,
 }
 
-/// Counts the pieces of an answer that were passed on.
+/// Counts the parts of a response that were forwarded to the caller.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Pulse(Arc<AtomicU64>);
+pub(crate) struct ProgressCounter(Arc<AtomicU64>);
 
-impl Pulse {
-    /// Counts one.
-    pub(crate) fn beat(&self) {
+impl ProgressCounter {
+    pub(crate) fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -75,86 +74,89 @@
     }
 }
 
-/// A request in hand, as the control thread reaches it.
-pub(crate) struct Open {
-    /// Where its task listens.
+/// Handle of the control thread to the task of a request in flight.
+pub(crate) struct RequestHandle {
+    /// Commands to the task.
     commands: mpsc::UnboundedSender<Command>,
-    /// Counts what its caller gets.
-    pulse: Pulse,
-    /// Its count at the last look.
-    seen: u64,
+    /// Counts what was forwarded to the caller.
+    progress: ProgressCounter,
+    /// Value of `progress` at the previous check.
+    last_count: u64,
 }
 
-impl Open {
-    /// A request whose task listens at the other end of `commands`.
-    pub(crate) fn new(commands: mpsc::UnboundedSender<Command>, pulse: Pulse) -> Open {
-        Open { commands, pulse, seen: 0 }
+impl RequestHandle {
+    /// Creates a handle to the task that receives the other end of `commands`.
+    pub(crate) fn new(
+        commands: mpsc::UnboundedSender<Command>,
+        progress: ProgressCounter,
+    ) -> RequestHandle {
+        RequestHandle { commands, progress, last_count: 0 }
     }
 
-    /// Whether anything was passed on since the last look.
+    /// Returns whether anything was forwarded since the previous call.
     fn take_progress(&mut self) -> bool {
-        let count = self.pulse.count();
-        std::mem::replace(&mut self.seen, count) != count
+        let count = self.progress.count();
+        std::mem::replace(&mut self.last_count, count) != count
     }
 }
 
-/// What reaches the control thread.
+/// Input of the control thread.
 pub(crate) enum Input {
-    /// An event of the reducer.
+    /// An event of the state machine.
     Event(EntryEvent),
-    /// A request, and how it is reached.
-    Arrive(Arrival, Open),
+    /// A new request, with the handle to its task.
+    Request(Arrival, RequestHandle),
 }
 
-/// The way to the control thread.
+/// Sends input to the control thread.
 #[derive(Clone)]
-pub(crate) struct Events(Sender<Input>);
+pub(crate) struct EventSender(Sender<Input>);
 
-impl Events {
-    /// Hands over an event.
+impl EventSender {
+    /// Sends an event.
     pub(crate) fn send(&self, event: EntryEvent) {
-        self.put(Input::Event(event));
+        self.send_input(Input::Event(event));
     }
 
-    /// Hands over a request.
-    pub(crate) fn arrive(&self, arrival: Arrival, open: Open) {
-        self.put(Input::Arrive(arrival, open));
+    /// Sends a new request.
+    pub(crate) fn send_request(&self, arrival: Arrival, request: RequestHandle) {
+        self.send_input(Input::Request(arrival, request));
     }
 
-    fn put(&self, input: Input) {
+    fn send_input(&self, input: Input) {
         if self.0.send(input).is_err() {
             log::debug!("event=control_gone");
         }
     }
 }
 
-/// What the traffic side reads of the control state.
+/// State of the control thread that the tasks of the runtime read.
 #[derive(Debug, Default)]
-pub(crate) struct Shared {
+pub(crate) struct EntryStatus {
     pub(crate) ready: AtomicBool,
     pub(crate) stopping: AtomicBool,
-    pub(crate) in_hand: AtomicU64,
+    pub(crate) in_flight: AtomicU64,
 }
 
-/// Runs an entry until `stop` says so.
+/// Runs an entry until `stop` receives a message.
 ///
 /// # Errors
-/// A setting is missing, or an address cannot be listened on.
+/// A required setting is missing, or an address cannot be bound.
 pub fn run_entry(
     settings: &PoolSettings,
     dialect: Arc<dyn Dialect>,
     logs: Arc<LogStats>,
     stop: std::sync::mpsc::Receiver<()>,
 ) -> Result<(), GatewayError> {
-    let callers = settings.callers.ok_or(GatewayError::Missing("listen callers"))?;
-    let readiness = settings.readiness.ok_or(GatewayError::Missing("listen readiness"))?;
+    let callers = settings.callers.ok_or(GatewayError::MissingSetting("listen callers"))?;
+    let readiness = settings.readiness.ok_or(GatewayError::MissingSetting("listen readiness"))?;
     let (sender, inputs) = unbounded();
-    let events = Events(sender);
-    let shared = Arc::new(Shared::default());
+    let events = EventSender(sender);
+    let status = Arc::new(EntryStatus::default());
     let metrics = Arc::new(EntryMetrics::new(logs));
-    let (side_sender, side_commands) = mpsc::unbounded_channel();
-    // Weak, as the connections to sides end when the control thread closes this channel.
-    let copy_asks = side_sender.downgrade();
+    let (side_sender, side_receiver) = mpsc::unbounded_channel();
+    // A weak sender: the connections to sides end when the control thread drops the strong one.
+    let chunk_requests = side_sender.downgrade();
     let (limits_sender, limits) = watch::channel(CallerLimits::default());
     let profile = EntryProfile {
         zone: settings.zone.clone(),
@@ -163,38 +165,43 @@
         retry_slack: settings.retry_slack,
         retry_window_ms: settings.retry_window_ms,
     };
-    let control = Control {
+    let control = ControlThread {
         reducer: PoolEntry::new(profile),
         start: Instant::now(),
         inputs,
         requests: BTreeMap::new(),
-        pace: Pace::default(),
-        sides: side_sender,
+        timer: Pace::default(),
+        side_commands: side_sender,
         limits: limits_sender,
-        shared: shared.clone(),
+        status: status.clone(),
         metrics: metrics.clone(),
-        budget: LogBudget::new(),
+        log_limit: LogRateLimit::new(),
     };
     let thread = thread::Builder::new().name("control".to_owned()).spawn(move || control.run())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let result = runtime.block_on(async {
-        let (copies, copy_events) = Copies::new();
-        let board = Board::new(dialect.clone(), events.clone(), copies.clone());
+        let (transfer, transfer_events) = ConfigTransfer::new();
+        let view = PlatformView::new(dialect.clone(), events.clone(), transfer.clone());
         for table in [Table::Text, Table::Members] {
-            tokio::spawn(watch_table(settings, table, dialect.clone(), board.clone()));
+            tokio::spawn(watch_table(settings, table, dialect.clone(), view.clone()));
         }
         let port = settings.peers.port();
         if let Some(address) = settings.snapshots {
-            tokio::spawn(serve_seeds(listen(address).await?, board.clone()));
+            tokio::spawn(serve_snapshots(listen(address).await?, view.clone()));
         }
-        tokio::spawn(ask_seeds(settings.seeds.clone(), settings.snapshots, board.clone()));
-        tokio::spawn(fetch_texts(&settings.name, copy_events, copy_asks, board.clone()));
-        tokio::spawn(run_sides(port, side_commands, board, copies, events.clone()));
+        tokio::spawn(bootstrap_from_seeds(
+            settings.seeds.clone(),
+            settings.snapshots,
+            view.clone(),
+        ));
+        tokio::spawn(fetch_config(&settings.name, transfer_events, chunk_requests, view.clone()));
+        tokio::spawn(run_sides(port, side_receiver, view, transfer, events.clone()));
         tokio::spawn(serve_metrics(settings.metrics, metrics.clone()));
-        let front = Front { dialect, events, shared, metrics, limits };
-        serve(callers, readiness, front, stop_plan(stop, settings.stop_ms)).await
+        let server = CallerServer { dialect, events, status, metrics, limits };
+        serve(callers, readiness, server, stop_plan(stop, settings.stop_ms)).await
     });
-    // The runtime ends every task that still holds a way to the control thread, which ends then.
+    // Dropping the runtime ends every task that holds a sender to the control thread; its channel
+    // then closes and the thread returns.
     drop(runtime);
     if thread.join().is_err() {
         log::error!("event=control_failed");
@@ -202,81 +209,87 @@
     result
 }
 
-/// Fetches the text from sides while the store does not give it.
-fn fetch_texts(
+/// Fetches the configuration from sides while the platform store is unavailable.
+fn fetch_config(
     name: &str,
     events: mpsc::UnboundedReceiver<CopyEvent<SocketAddr>>,
     sides: mpsc::WeakUnboundedSender<SideCommand>,
-    board: Board,
+    view: PlatformView,
 ) -> impl Future<Output = ()> + use<> {
-    let ask = move |endpoint, ask| {
-        let say = SideCommand::Say(endpoint, Box::new(PoolKind::TextAsk(ask)));
-        let sent = sides.upgrade().is_some_and(|sides| sides.send(say).is_ok());
+    let request_chunk = move |endpoint, request| {
+        let message = SideCommand::Send(endpoint, Box::new(PoolKind::TextAsk(request)));
+        let sent = sides.upgrade().is_some_and(|sides| sides.send(message).is_ok());
         if !sent {
             log::debug!("event=sides_gone");
         }
     };
-    let take = move |copy: TextCopy| board.offer(&copy.bytes, "side");
-    fetch_copies(CopyPatience::OwnRead, hash_bytes(name.as_bytes()), events, ask, take)
+    let apply = move |encoded: TextCopy| view.offer_config(&encoded.bytes, "side");
+    run_config_fetch(
+        CopyPatience::OwnRead,
+        hash_bytes(name.as_bytes()),
+        events,
+        request_chunk,
+        apply,
+    )
 }
 
-/// When the parts of a planned stop come.
+/// The phases of a planned stop.
 pub(crate) struct StopPlan {
-    pub(crate) asked: watch::Receiver<bool>,
-    /// How long new connections are still taken.
-    pub(crate) hand_over: Duration,
-    /// How long open requests are given after that.
-    pub(crate) finish: Duration,
+    pub(crate) requested: watch::Receiver<bool>,
+    /// How long new connections are still accepted.
+    pub(crate) accept_time: Duration,
+    /// How long open requests may take after that.
+    pub(crate) drain_time: Duration,
 }
 
 fn stop_plan(stop: std::sync::mpsc::Receiver<()>, stop_ms: u64) -> StopPlan {
-    let (sender, asked) = watch::channel(false);
+    let (sender, requested) = watch::channel(false);
     thread::spawn(move || {
         if stop.recv().is_ok() {
             sender.send_replace(true);
         }
-        // Kept until the process ends: a closed channel would look like a stop.
+        // Keeps the sender alive until the process ends: a closed channel would count as a stop.
         loop {
             thread::park();
         }
     });
-    let hand_over = HAND_OVER_MS.min(stop_ms / 2);
+    let accept_time = ACCEPT_MS.min(stop_ms / 2);
     StopPlan {
-        asked,
-        hand_over: Duration::from_millis(hand_over),
-        finish: Duration::from_millis(stop_ms.saturating_sub(hand_over + STOP_SLACK_MS)),
+        requested,
+        accept_time: Duration::from_millis(accept_time),
+        drain_time: Duration::from_millis(stop_ms.saturating_sub(accept_time + EXIT_RESERVE_MS)),
     }
 }
 
-/// The control thread's own state.
-struct Control {
+/// State of the control thread.
+struct ControlThread {
     reducer: PoolEntry,
     start: Instant,
     inputs: Receiver<Input>,
-    requests: BTreeMap<RequestId, Open>,
-    pace: Pace,
-    sides: mpsc::UnboundedSender<SideCommand>,
+    requests: BTreeMap<RequestId, RequestHandle>,
+    timer: Pace,
+    side_commands: mpsc::UnboundedSender<SideCommand>,
     limits: watch::Sender<CallerLimits>,
-    shared: Arc<Shared>,
+    status: Arc<EntryStatus>,
     metrics: Arc<EntryMetrics>,
-    budget: LogBudget,
+    log_limit: LogRateLimit,
 }
 
-impl Control {
+impl ControlThread {
     fn run(mut self) {
         loop {
             let busy = !self.requests.is_empty();
-            let every_ms = if busy { BUSY_TICK_MS } else { IDLE_TICK_MS };
-            let left_ms = self.pace.left_ms(every_ms, self.now());
-            match self.inputs.recv_timeout(Duration::from_millis(left_ms)) {
+            let interval_ms = if busy { BUSY_TICK_MS } else { IDLE_TICK_MS };
+            let remaining_ms = self.timer.left_ms(interval_ms, self.now());
+            match self.inputs.recv_timeout(Duration::from_millis(remaining_ms)) {
                 Ok(input) => {
-                    self.pace.note_event();
-                    self.take(input);
+                    self.timer.note_event();
+                    self.handle_input(input);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            match self.pace.take(every_ms, self.now()) {
+            match self.timer.take(interval_ms, self.now()) {
                 Due::Nothing => {}
                 Due::Look => self.tick(EntryEvent::Look),
                 Due::Whole => self.tick(EntryEvent::Tick),
@@ -289,28 +302,30 @@
     }
 
     fn tick(&mut self, event: EntryEvent) {
-        let moved =
-            self.requests.iter_mut().filter_map(|(id, open)| open.take_progress().then_some(*id));
-        let moved = moved.collect::<Vec<_>>();
-        if !moved.is_empty() {
-            self.step(EntryEvent::Progress(moved));
+        let progressed = self
+            .requests
+            .iter_mut()
+            .filter_map(|(id, request)| request.take_progress().then_some(*id));
+        let progressed = progressed.collect::<Vec<_>>();
+        if !progressed.is_empty() {
+            self.step(EntryEvent::Progress(progressed));
         }
         self.step(event);
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Event(event) => {
-                if let EntryEvent::Text(text) = &event {
-                    self.limits.send_replace(text.limits);
+                if let EntryEvent::Text(config) = &event {
+                    self.limits.send_replace(config.limits);
                 }
                 if let EntryEvent::Leave(id) | EntryEvent::Finish(id, _) = &event {
                     self.requests.remove(id);
                 }
                 self.step(event);
             }
-            Input::Arrive(arrival, open) => {
-                self.requests.insert(arrival.id, open);
+            Input::Request(arrival, request) => {
+                self.requests.insert(arrival.id, request);
                 self.step(EntryEvent::Arrive(arrival));
             }
         }
@@ -318,68 +333,75 @@
 
     fn step(&mut self, event: EntryEvent) {
         let effects = self.reducer.step(self.now(), event);
-        // Before the effects: whoever reads of a text in the log finds the process ready.
-        self.shared.ready.store(self.reducer.ready(), Ordering::Relaxed);
-        self.shared.in_hand.store(self.reducer.in_hand() as u64, Ordering::Relaxed);
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        // Before the effects: once the log shows that a configuration was read, the process is ready.
+        self.status.ready.store(self.reducer.ready(), Ordering::Relaxed);
+        self.status.in_flight.store(self.reducer.in_hand() as u64, Ordering::Relaxed);
+        effects.into_iter().for_each(|effect| self.execute(effect));
     }
 
-    fn carry_out(&mut self, effect: EntryEffect) {
+    fn execute(&mut self, effect: EntryEffect) {
         match effect {
-            EntryEffect::Send(id, sending) => self.tell(id, Command::Send(sending), false),
-            EntryEffect::Pass(id) => self.tell(id, Command::Pass, false),
+            EntryEffect::Send(id, dispatch) => {
+                self.send_command(id, Command::Dispatch(dispatch), false)
+            }
+            EntryEffect::Pass(id) => self.send_command(id, Command::Forward, false),
             EntryEffect::Refuse(id, refusal) => {
-                self.metrics.refused(refusal.reason);
-                self.tell(id, Command::Refuse(refusal), true);
+                self.metrics.count_refusal(refusal.reason);
+                self.send_command(id, Command::Refuse(refusal), true);
             }
-            EntryEffect::Cut(id) => self.tell(id, Command::Cut, true),
-            EntryEffect::Abandon(id) => self.tell(id, Command::Abandon, false),
+            EntryEffect::Cut(id) => self.send_command(id, Command::Abort, true),
+            EntryEffect::Abandon(id) => self.send_command(id, Command::Disconnect, false),
             EntryEffect::Probe(address) => {
-                self.side(SideCommand::Say(address, Box::new(PoolKind::Probe(Probe {}))));
+                self.send_to_sides(SideCommand::Send(address, Box::new(PoolKind::Probe(Probe {}))));
+            }
+            EntryEffect::Want(address, load_request) => {
+                self.metrics.load_requests.increment();
+                self.send_to_sides(SideCommand::Send(
+                    address,
+                    Box::new(PoolKind::Want(load_request)),
+                ));
             }
-            EntryEffect::Want(address, want) => {
-                self.metrics.wants.add();
-                self.side(SideCommand::Say(address, Box::new(PoolKind::Want(want))));
+            EntryEffect::Used(address, usage) => {
+                self.send_to_sides(SideCommand::Send(address, Box::new(PoolKind::Used(usage))));
             }
-            EntryEffect::Used(address, used) => {
-                self.side(SideCommand::Say(address, Box::new(PoolKind::Used(used))));
+            EntryEffect::Sides(addresses) => {
+                self.send_to_sides(SideCommand::ConnectOnly(addresses))
             }
-            EntryEffect::Sides(addresses) => self.side(SideCommand::Keep(addresses)),
             EntryEffect::Log(event) => {
-                if self.budget.take(event.event, self.now().0) {
+                if self.log_limit.allow(event.event, self.now().0) {
                     log::info!("{event}");
                 }
             }
         }
     }
 
-    fn tell(&mut self, id: RequestId, command: Command, last: bool) {
-        let Some(open) = self.requests.get(&id) else { return };
-        let gone = open.commands.send(command).is_err();
+    fn send_command(&mut self, id: RequestId, command: Command, last: bool) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let gone = request.commands.send(command).is_err();
         if last {
             self.requests.remove(&id);
         }
-        // A task that is gone has its leaving on the way.
+        // A task that has ended sends `EntryEvent::Leave`, which cleans up the request.
         if gone {
             log::debug!("event=request_gone request={}", id.0);
         }
     }
 
-    fn side(&self, command: SideCommand) {
-        if self.sides.send(command).is_err() {
+    fn send_to_sides(&self, command: SideCommand) {
+        if self.side_commands.send(command).is_err() {
             log::debug!("event=sides_gone");
         }
     }
 }
 
-/// A text with the bytes that it was read from.
+/// A decoded configuration, with the bytes that it was decoded from.
 #[derive(Clone)]
-pub(crate) struct ReadText {
-    pub(crate) copy: TextCopy,
-    pub(crate) text: Arc<ServingText>,
+pub(crate) struct LoadedConfig {
+    pub(crate) encoded: TextCopy,
+    pub(crate) config: Arc<ServingText>,
 }
 
-/// The side beside an endpoint.
+/// Returns the address of the side on the instance of `endpoint`.
 pub(crate) fn side_address(endpoint: SocketAddr, port: u16) -> SocketAddr {
     SocketAddr::new(endpoint.ip(), port)
 }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong at a socket.
+//! Errors of sockets and calls.
 
 use std::{io, net::SocketAddr};
 
@@ -6,53 +6,53 @@
 
 use crate::dialect::DialectError;
 
-/// Why a process of the pool could not run, or a call failed.
+/// Error of an entry or side process, or of one of its calls.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// An address could not be listened on.
+    /// An address could not be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A setting that this role needs is missing.
-    #[error("the settings lack {0}")]
-    Missing(&'static str),
+    /// A setting that this role requires is missing.
+    #[error("missing setting: {0}")]
+    MissingSetting(&'static str),
     /// A thread or runtime could not be started.
-    #[error("cannot start: {0}")]
+    #[error("cannot start the process: {0}")]
     Start(#[from] io::Error),
-    /// No connection was made.
-    #[error("cannot reach {address}: {source}")]
+    /// No connection could be established.
+    #[error("cannot connect to {address}: {source}")]
     Connect {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The other end did not speak HTTP, or broke off.
-    #[error("http: {0}")]
+    /// The peer violated HTTP, or closed the connection.
+    #[error("HTTP error: {0}")]
     Http(#[from] hyper::Error),
     /// A request could not be built.
-    #[error("request: {0}")]
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// No answer came in time.
-    #[error("no answer within {0} ms")]
+    /// No response arrived in time.
+    #[error("no response within {0} ms")]
     Timeout(u64),
-    /// The other end answers calls again that failed before, and this one is older.
-    #[error("given up for a new call")]
-    Overtaken,
-    /// An answer that had begun stopped coming.
-    #[error("the answer stopped after {0} bytes")]
+    /// The peer answers other calls again after an outage, and this call dates from before.
+    #[error("superseded by a new call")]
+    Superseded,
+    /// A response stopped arriving before its end.
+    #[error("response stalled after {0} bytes")]
     Stalled(usize),
-    /// An answer is larger than anything that is asked for.
-    #[error("an answer of more than {0} bytes")]
+    /// A response exceeds the size limit.
+    #[error("response exceeds {0} bytes")]
     TooLarge(usize),
-    /// The other end answered with an error.
-    #[error("status {0}")]
+    /// The peer responded with an error status.
+    #[error("unexpected status {0}")]
     Status(u16),
-    /// The answer could not be read.
+    /// The response could not be decoded.
     #[error("{0}")]
     Dialect(#[from] DialectError),
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,77 +1,80 @@
-//! The bytes of a stream of events, cut where events end.
+//! Splits a server-sent event stream into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// What ends an event.
-const END: &[u8] = b"\n\n";
-/// Before an event's number.
-const NUMBER: &str = "id:";
+/// End of an event.
+const EVENT_END: &[u8] = b"\n\n";
+/// Name of the field with an event's ID.
+const ID_FIELD: &str = "id:";
 
-/// Passes on whole events, each once, over the runs that make up one answer.
+/// Forwards whole events, each once, across all attempts that produce one response.
 ///
-/// The failures it prevents: an endpoint breaks off in the middle of an event, and the run that goes on
-/// elsewhere makes that event again; or that run begins with an event that the caller has had. A caller
-/// would see a spoilt event or one twice.
+/// An endpoint may break off in the middle of an event, and the attempt that resumes the stream on
+/// another endpoint may produce that event again or begin with events that the caller has received.
+/// Forwarding the bytes as they are would give the caller a corrupt or a duplicate event.
 #[derive(Debug, Default)]
-pub(crate) struct EventCutter {
-    /// The beginning of an event whose end has not come.
-    rest: BytesMut,
-    /// The last event that was passed on.
-    last: Option<u64>,
-    /// What the caller had when the present run began.
-    had: Option<u64>,
+pub(crate) struct EventSplitter {
+    /// The beginning of an incomplete event.
+    partial: BytesMut,
+    /// ID of the last event that was forwarded.
+    last_id: Option<u64>,
+    /// ID of the last event that was forwarded before the current attempt.
+    resumed_after: Option<u64>,
 }
 
-impl EventCutter {
-    /// The number of the last event that was passed on.
-    pub(crate) fn last(&self) -> Option<u64> {
-        self.last
+impl EventSplitter {
+    /// Returns the ID of the last event that was forwarded.
+    pub(crate) fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
-    /// Begins the next run: what the last one left unfinished is dropped.
-    pub(crate) fn next_run(&mut self) {
-        self.rest.clear();
-        self.had = self.last;
+    /// Begins the next attempt and discards the incomplete event of the previous one.
+    pub(crate) fn start_attempt(&mut self) {
+        self.partial.clear();
+        self.resumed_after = self.last_id;
     }
 
-    /// Takes bytes of the present run; gives the whole events among them that are due.
-    pub(crate) fn take(&mut self, bytes: Bytes) -> Bytes {
-        if self.rest.is_empty() && self.had.is_none() && bytes.ends_with(END) {
-            self.note(&bytes);
+    /// Adds bytes of the current attempt; returns its new whole events.
+    pub(crate) fn push(&mut self, bytes: Bytes) -> Bytes {
+        if self.partial.is_empty() && self.resumed_after.is_none() && bytes.ends_with(EVENT_END) {
+            self.record_id(&bytes);
             return bytes;
         }
-        self.rest.extend_from_slice(&bytes);
-        let mut due = BytesMut::new();
-        while let Some(end) = self.rest.windows(END.len()).position(|two| two == END) {
-            let event = self.rest.split_to(end + END.len());
-            if self.is_due(&event) {
-                self.note(&event);
-                due.extend_from_slice(&event);
+        self.partial.extend_from_slice(&bytes);
+        let mut complete = BytesMut::new();
+        while let Some(end) =
+            self.partial.windows(EVENT_END.len()).position(|window| window == EVENT_END)
+        {
+            let event = self.partial.split_to(end + EVENT_END.len());
+            if self.is_new(&event) {
+                self.record_id(&event);
+                complete.extend_from_slice(&event);
             }
         }
-        due.freeze()
+        complete.freeze()
     }
 
-    /// What is left when the run has ended whole: not an event, but bytes of its answer.
-    pub(crate) fn end(&mut self) -> Bytes {
-        self.rest.split().freeze()
+    /// Returns the bytes after the last event of an attempt that ended normally: they are part of the
+    /// response.
+    pub(crate) fn finish(&mut self) -> Bytes {
+        self.partial.split().freeze()
     }
 
-    fn is_due(&self, event: &[u8]) -> bool {
-        match (number(event), self.had) {
-            (Some(number), Some(had)) => number > had,
+    fn is_new(&self, event: &[u8]) -> bool {
+        match (parse_last_id(event), self.resumed_after) {
+            (Some(id), Some(resumed_after)) => id > resumed_after,
             _ => true,
         }
     }
 
-    fn note(&mut self, events: &[u8]) {
-        self.last = number(events).or(self.last);
+    fn record_id(&mut self, events: &[u8]) {
+        self.last_id = parse_last_id(events).or(self.last_id);
     }
 }
 
-/// The number of the last event in `bytes` that has one.
-fn number(bytes: &[u8]) -> Option<u64> {
+/// Returns the ID of the last event in `bytes` that has one.
+fn parse_last_id(bytes: &[u8]) -> Option<u64> {
     let text = str::from_utf8(bytes).ok()?;
-    let numbers = text.lines().rev().filter_map(|line| line.strip_prefix(NUMBER));
-    numbers.filter_map(|number| number.trim().parse().ok()).next()
+    let ids = text.lines().rev().filter_map(|line| line.strip_prefix(ID_FIELD));
+    ids.filter_map(|id| id.trim().parse().ok()).next()
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request's dealings with endpoints, as the control thread decides them.
+//! One request's calls to endpoints, as commanded by the control thread.
 
 use std::{
     sync::Arc,
@@ -18,143 +18,150 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use crate::{
-    call::{Channel, Guard},
+    call::{ConnectionGuard, HttpConnection},
     dialect::Dialect,
-    entry::{Command, Events, Pulse},
+    entry::{Command, EventSender, ProgressCounter},
     error::GatewayError,
     metrics::EntryMetrics,
 };
 
-/// A request as it will be sent, once or more often.
-pub(crate) struct Outgoing {
+/// A request as it is sent to endpoints, once or several times.
+pub(crate) struct OutgoingRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The name that its caller gave it.
-    pub(crate) caller: String,
+    /// The request ID assigned by the caller.
+    pub(crate) caller_id: String,
 }
 
-/// What the control thread has decided in the end.
+/// Final decision of the control thread for a request.
 pub(crate) enum Outcome {
-    /// The caller gets this answer.
-    Pass(Response<Incoming>, Guard),
-    /// The caller gets an answer of the system's own.
+    /// The endpoint's response is forwarded to the caller.
+    Forward(Response<Incoming>, ConnectionGuard),
+    /// The caller gets a refusal.
     Refuse(Refusal),
-    /// The answer is broken off.
-    Cut,
+    /// The response is aborted.
+    Abort,
 }
 
-/// An answer that an endpoint has begun, before it is decided whether the caller gets it.
-type Held = Option<(Response<Incoming>, Guard)>;
+/// The response of an endpoint that is held until the control thread decides whether to forward it.
+type HeldResponse = Option<(Response<Incoming>, ConnectionGuard)>;
 
-/// A request, and where the control thread tells what is to be done with it.
+/// A request with the channel of its commands.
 pub(crate) struct Exchange {
     pub(crate) id: RequestId,
-    pub(crate) outgoing: Outgoing,
+    pub(crate) outgoing: OutgoingRequest,
     pub(crate) commands: UnboundedReceiver<Command>,
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) events: Events,
+    pub(crate) events: EventSender,
     pub(crate) metrics: Arc<EntryMetrics>,
-    /// When the request had been read.
-    pub(crate) read: Instant,
-    /// Counts what its caller gets.
-    pub(crate) pulse: Pulse,
+    /// When the request had been read in full.
+    pub(crate) received_at: Instant,
+    /// Counts what was forwarded to the caller.
+    pub(crate) progress: ProgressCounter,
 }
 
 impl Exchange {
-    /// The request's name in this process.
+    /// Returns the request's ID within this process.
     pub(crate) fn id(&self) -> RequestId {
         self.id
     }
 
-    /// What the control thread says while an answer is being given.
+    /// Polls for a command while a response is being forwarded.
     pub(crate) fn poll_command(&mut self, context: &mut Context<'_>) -> Poll<Option<Command>> {
         self.commands.poll_recv(context)
     }
 
-    /// Carries out what the control thread decides until an answer is to be given, or none.
-    pub(crate) async fn next(mut self) -> (Exchange, Outcome) {
+    /// Carries out commands until the outcome is decided.
+    pub(crate) async fn next_outcome(mut self) -> (Exchange, Outcome) {
         let mut held = None;
-        let mut next = self.commands.recv().await;
+        let mut command = self.commands.recv().await;
         loop {
-            match next {
-                Some(Command::Send(sending)) => {
-                    // The connection of the last sending is closed before the next one is made.
+            match command {
+                Some(Command::Dispatch(dispatch)) => {
+                    // The connection of the previous attempt is closed before the next attempt begins.
                     drop(held.take());
-                    if sending.number == 1 {
-                        self.metrics.waits.record(self.read.elapsed());
+                    if dispatch.number == 1 {
+                        self.metrics.queue_time.record(self.received_at.elapsed());
                     }
-                    let call = call(&self.outgoing, &sending, self.dialect.as_ref(), &self.metrics);
-                    next = tokio::select! {
+                    let attempt = send_request(
+                        &self.outgoing,
+                        &dispatch,
+                        self.dialect.as_ref(),
+                        &self.metrics,
+                    );
+                    command = tokio::select! {
                         biased;
                         command = self.commands.recv() => command,
-                        result = call => {
-                            held = self.report(&sending, result);
+                        result = attempt => {
+                            held = self.report_result(&dispatch, result);
                             self.commands.recv().await
                         }
                     };
                 }
-                Some(Command::Pass) => {
-                    let passed = held.take();
-                    let outcome = passed.map(|(response, guard)| Outcome::Pass(response, guard));
-                    return (self, outcome.unwrap_or(Outcome::Cut));
+                Some(Command::Forward) => {
+                    let response = held.take();
+                    let outcome =
+                        response.map(|(response, guard)| Outcome::Forward(response, guard));
+                    return (self, outcome.unwrap_or(Outcome::Abort));
                 }
-                // The endpoint broke the stream off before it could be left.
-                Some(Command::Abandon) => next = self.commands.recv().await,
+                // The endpoint broke off the stream before it could be disconnected.
+                Some(Command::Disconnect) => command = self.commands.recv().await,
                 Some(Command::Refuse(refusal)) => return (self, Outcome::Refuse(refusal)),
-                Some(Command::Cut) | None => return (self, Outcome::Cut),
+                Some(Command::Abort) | None => return (self, Outcome::Abort),
             }
         }
     }
 
-    /// Tells the control thread what came of a sending; keeps the answer for its decision.
-    fn report(
+    /// Reports the result of an attempt to the control thread; returns the response to hold until
+    /// it decides.
+    fn report_result(
         &self,
-        sending: &Sending,
-        result: Result<(Response<Incoming>, Guard), (FailureKind, GatewayError)>,
-    ) -> Held {
+        dispatch: &Sending,
+        result: Result<(Response<Incoming>, ConnectionGuard), (FailureKind, GatewayError)>,
+    ) -> HeldResponse {
         match result {
             Ok((response, guard)) => {
                 let (status, headers) = (response.status(), response.headers());
-                let caller = &self.outgoing.caller;
-                let head = self.dialect.answer(status, headers, caller, &sending.instance);
-                self.events.send(EntryEvent::Answer(self.id, sending.number, head));
+                let caller_id = &self.outgoing.caller_id;
+                let head = self.dialect.answer(status, headers, caller_id, &dispatch.instance);
+                self.events.send(EntryEvent::Answer(self.id, dispatch.number, head));
                 Some((response, guard))
             }
             Err((kind, error)) => {
-                log::info!("event=send_failed id={} error=\"{error}\"", self.outgoing.caller);
-                self.events.send(EntryEvent::Fail(self.id, sending.number, kind));
+                log::info!("event=send_failed id={} error=\"{error}\"", self.outgoing.caller_id);
+                self.events.send(EntryEvent::Fail(self.id, dispatch.number, kind));
                 None
             }
         }
     }
 }
 
-async fn call(
-    outgoing: &Outgoing,
-    sending: &Sending,
+async fn send_request(
+    outgoing: &OutgoingRequest,
+    dispatch: &Sending,
     dialect: &dyn Dialect,
     metrics: &EntryMetrics,
-) -> Result<(Response<Incoming>, Guard), (FailureKind, GatewayError)> {
-    let begun = Instant::now();
-    let opened = Channel::open(sending.address).await;
-    let mut channel = opened.map_err(|error| (FailureKind::Unreached, error))?;
+) -> Result<(Response<Incoming>, ConnectionGuard), (FailureKind, GatewayError)> {
+    let started = Instant::now();
+    let opened = HttpConnection::open(dispatch.address).await;
+    let mut connection = opened.map_err(|error| (FailureKind::Unreached, error))?;
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
     let mut headers = outgoing.headers.clone();
-    strip(&mut headers);
+    strip_connection_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
-    dialect.forward(&mut headers, sending);
+    dialect.forward(&mut headers, dispatch);
     *request.headers_mut() = headers;
-    let response = channel.send(request).await;
+    let response = connection.send(request).await;
     let response = response.map_err(|error| (FailureKind::Broken, error))?;
-    metrics.heads.record(begun.elapsed());
-    Ok((response, channel.into_guard()))
+    metrics.ttfb.record(started.elapsed());
+    Ok((response, connection.into_guard()))
 }
 
-/// Names that concern one connection only, besides those that `Connection` lists.
+/// Hop-by-hop headers, besides those that `Connection` lists.
 const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -166,12 +173,12 @@
     "upgrade",
 ];
 
-/// Removes what concerns one connection only.
-pub(crate) fn strip(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers.
+pub(crate) fn strip_connection_headers(headers: &mut HeaderMap) {
     let listed = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let listed = listed.flat_map(|value| value.split(',')).map(|name| name.trim().to_lowercase());
     for name in listed.collect::<Vec<_>>() {
-        // Names that decide whose request this is are never one connection's own.
+        // Headers that identify the request are never hop-by-hop, even if `Connection` lists them.
         if !name.starts_with("x-") && name != "host" && name != "content-length" {
             headers.remove(name.as_str());
         }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! Where callers come in.
+//! HTTP server for callers, and the readiness check of the load balancer.
 
 use std::{
     convert::Infallible,
@@ -30,79 +30,79 @@
 };
 
 use crate::{
-    call::{Guard, tune},
+    call::{ConnectionGuard, set_socket_options},
     dialect::Dialect,
-    entry::{Events, Open, Pulse, Shared, StopPlan},
+    entry::{EntryStatus, EventSender, ProgressCounter, RequestHandle, StopPlan},
     error::GatewayError,
-    exchange::{Exchange, Outcome, Outgoing, strip},
+    exchange::{Exchange, Outcome, OutgoingRequest, strip_connection_headers},
     metrics::EntryMetrics,
     relay::Relay,
 };
 
-/// An answer's body: an endpoint's on its way, or one of the system's own.
-type Body = Either<Relay, Full<Bytes>>;
+/// Body of a response: forwarded from an endpoint, or made by this process.
+type ResponseBody = Either<Relay, Full<Bytes>>;
 
-/// What a stream of events calls itself.
+/// Media type of a server-sent event stream.
 const EVENT_STREAM: &str = "text/event-stream";
-/// Bytes that the HTTP library needs for its buffer at least.
-const MIN_BUFFER: usize = 8_192;
-/// Milliseconds for a body to arrive when its caller names no deadline.
-const BODY_MS: u64 = 10_000;
+/// Minimum size in bytes of the HTTP library's buffer.
+const MIN_BUFFER_BYTES: usize = 8_192;
+/// Milliseconds to receive a request body when the caller sets no deadline.
+const BODY_TIMEOUT_MS: u64 = 10_000;
 
-/// Milliseconds before the end of a planned stop at which the last answers are given.
-const LAST_ANSWERS_MS: u64 = 300;
-/// Milliseconds for which a stopping entry waits for the first request of a connection that it has taken:
-/// a caller sends at once when it is connected, and a lost packet is sent again after 200.
+/// Milliseconds before the end of a planned stop at which the last requests must be answered.
+const LAST_RESPONSES_MS: u64 = 300;
+/// Milliseconds for which a stopping entry waits for the first request on an accepted connection: a
+/// caller sends at once when it is connected, and TCP sends a lost packet again after 200 ms.
 const FIRST_REQUEST_MS: u64 = 300;
 
-/// What every connection shares.
+/// State shared by all connections of callers.
 #[derive(Clone)]
-pub(crate) struct Front {
+pub(crate) struct CallerServer {
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) events: Events,
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) events: EventSender,
+    pub(crate) status: Arc<EntryStatus>,
     pub(crate) metrics: Arc<EntryMetrics>,
     pub(crate) limits: watch::Receiver<CallerLimits>,
 }
 
-/// Listens on `address`.
+/// Binds a listener to `address`.
 pub(crate) async fn listen(address: SocketAddr) -> Result<TcpListener, GatewayError> {
     TcpListener::bind(address).await.map_err(|source| GatewayError::Listen { address, source })
 }
 
-/// Takes callers until the planned stop is over.
+/// Serves callers until the planned stop is complete.
 pub(crate) async fn serve(
     callers: SocketAddr,
     readiness: SocketAddr,
-    front: Front,
+    server: CallerServer,
     plan: StopPlan,
 ) -> Result<(), GatewayError> {
     let listener = listen(callers).await?;
-    let probes = listen(readiness).await?;
-    tokio::spawn(answer_probes(probes, front.shared.clone()));
+    let readiness_listener = listen(readiness).await?;
+    tokio::spawn(serve_readiness(readiness_listener, server.status.clone()));
     log::info!("event=started role=entry callers={callers} readiness={readiness}");
     let (closing, closed) = watch::channel(false);
     let mut connections = JoinSet::new();
-    let mut asked = plan.asked.clone();
-    let last = async {
+    let mut requested = plan.requested.clone();
+    let shutdown = async {
         // The sender lives as long as the process.
-        drop(asked.wait_for(|asked| *asked).await);
-        front.shared.stopping.store(true, Ordering::Relaxed);
-        log::info!("event=stopping in_hand={}", front.shared.in_hand.load(Ordering::Relaxed));
-        let last_ms = (plan.hand_over + plan.finish).as_millis() as u64;
-        let wait_ms = plan.hand_over.as_millis() as u64;
-        let end_ms = last_ms.saturating_sub(LAST_ANSWERS_MS);
-        front.events.send(EntryEvent::Stop(wait_ms, end_ms));
-        sleep(plan.hand_over).await;
+        drop(requested.wait_for(|requested| *requested).await);
+        server.status.stopping.store(true, Ordering::Relaxed);
+        log::info!("event=stopping in_hand={}", server.status.in_flight.load(Ordering::Relaxed));
+        let last_ms = (plan.accept_time + plan.drain_time).as_millis() as u64;
+        let wait_ms = plan.accept_time.as_millis() as u64;
+        let end_ms = last_ms.saturating_sub(LAST_RESPONSES_MS);
+        server.events.send(EntryEvent::Stop(wait_ms, end_ms));
+        sleep(plan.accept_time).await;
     };
-    tokio::pin!(last);
+    tokio::pin!(shutdown);
     loop {
         tokio::select! {
-            () = &mut last => break,
+            () = &mut shutdown => break,
             Some(_) = connections.join_next(), if !connections.is_empty() => {}
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    connections.spawn(hold(stream, front.clone(), closed.clone()));
+                    connections.spawn(serve_connection(stream, server.clone(), closed.clone()));
                 }
                 Err(error) => {
                     log::warn!("event=accept_failed error=\"{error}\"");
@@ -111,23 +111,23 @@
             },
         }
     }
-    for stream in take_queue(listener)? {
-        connections.spawn(hold(stream, front.clone(), closed.clone()));
+    for stream in take_accept_queue(listener)? {
+        connections.spawn(serve_connection(stream, server.clone(), closed.clone()));
     }
     log::info!("event=closed callers={callers}");
     closing.send_replace(true);
-    let all = async { while connections.join_next().await.is_some() {} };
-    let finished = timeout(plan.finish, all).await.is_ok();
+    let drained = async { while connections.join_next().await.is_some() {} };
+    let finished = timeout(plan.drain_time, drained).await.is_ok();
     log::info!("event=stopped finished={finished}");
     Ok(())
 }
 
-/// Takes what waits in a listener's queue and closes the listener.
+/// Closes a listener and returns the connections in its accept queue.
 ///
-/// The failure it prevents: callers that have connected and were not taken yet are reset with the queue,
-/// although an entry that is being stopped as planned owes them an answer.
-fn take_queue(listener: TcpListener) -> Result<Vec<TcpStream>, GatewayError> {
-    // The runtime's own listener knows only of what its last look at the sockets has shown.
+/// Closing it alone would reset connections that are established but not yet accepted, although an entry
+/// must answer their requests in a planned stop.
+fn take_accept_queue(listener: TcpListener) -> Result<Vec<TcpStream>, GatewayError> {
+    // The runtime's listener only knows the connections that its last poll has shown.
     let listener = listener.into_std()?;
     let mut streams = Vec::new();
     loop {
@@ -142,17 +142,17 @@
     }
 }
 
-async fn answer_probes(listener: TcpListener, shared: Arc<Shared>) {
+async fn serve_readiness(listener: TcpListener, status: Arc<EntryStatus>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let shared = shared.clone();
+        let status = status.clone();
         tokio::spawn(async move {
             let service = service_fn(move |_| {
-                let ready = shared.ready.load(Ordering::Relaxed)
-                    && !shared.stopping.load(Ordering::Relaxed);
+                let ready = status.ready.load(Ordering::Relaxed)
+                    && !status.stopping.load(Ordering::Relaxed);
                 let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
                 async move {
                     let mut response = Response::new(Full::<Bytes>::default());
@@ -168,30 +168,36 @@
     }
 }
 
-/// Serves one caller's connection.
-async fn hold(stream: TcpStream, front: Front, mut closed: watch::Receiver<bool>) {
-    tune(&stream);
-    let limits = *front.limits.borrow();
-    let asked = Notify::new();
+/// Serves the connection of a caller.
+async fn serve_connection(
+    stream: TcpStream,
+    server: CallerServer,
+    mut closed: watch::Receiver<bool>,
+) {
+    set_socket_options(&stream);
+    let limits = *server.limits.borrow();
+    let first_request = Notify::new();
     let service = service_fn(|request| {
-        asked.notify_one();
-        let front = front.clone();
-        async move { Ok::<_, Infallible>(front.handle(request).await) }
+        first_request.notify_one();
+        let server = server.clone();
+        async move { Ok::<_, Infallible>(server.handle(request).await) }
     });
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        // The library's clock for a head starts when the connection falls idle, so this bounds both.
+        // The library starts this timeout when the connection becomes idle, so it bounds both the
+        // idle time and the time to read a request's head.
         .header_read_timeout(Duration::from_millis(limits.idle_ms))
-        .max_buf_size(limits.header_bytes.max(MIN_BUFFER));
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES));
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let closing = async {
-        // Nothing of the watched value may be kept over the next wait.
+        // The guard on the watched value must not be held across the next await.
         drop(closed.wait_for(|closed| *closed).await);
-        // The library closes a connection on which nothing has come yet, while the first request of a
-        // caller that was taken a moment ago is still on its way. Each has had one, or waits for it.
-        drop(timeout(Duration::from_millis(FIRST_REQUEST_MS), asked.notified()).await);
+        // A graceful shutdown closes a connection that has received nothing yet, while the first
+        // request of a newly accepted caller may still be in transit. This waits until each
+        // connection has received one, or for the timeout.
+        drop(timeout(Duration::from_millis(FIRST_REQUEST_MS), first_request.notified()).await);
     };
     let result = tokio::select! {
         result = connection.as_mut() => result,
@@ -205,14 +211,14 @@
     }
 }
 
-/// Tells the control thread if a request's task is dropped: its caller has left.
-struct Departure {
+/// Reports to the control thread that the caller disconnected if a request's task is dropped.
+struct LeaveNotifier {
     id: RequestId,
-    events: Events,
+    events: EventSender,
     armed: bool,
 }
 
-impl Drop for Departure {
+impl Drop for LeaveNotifier {
     fn drop(&mut self) {
         if self.armed {
             self.events.send(EntryEvent::Leave(self.id));
@@ -220,30 +226,32 @@
     }
 }
 
-impl Front {
-    async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
-        let old = request.version() < Version::HTTP_11;
-        let mut response = self.answer(request).await;
-        if self.shared.stopping.load(Ordering::Relaxed) && !old {
+impl CallerServer {
+    async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+        let http_1_0 = request.version() < Version::HTTP_11;
+        let mut response = self.respond(request).await;
+        if self.status.stopping.load(Ordering::Relaxed) && !http_1_0 {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
         response
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
-        self.metrics.requests.add();
+    async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+        self.metrics.requests.increment();
         let (parts, body) = request.into_parts();
         let meta = self.dialect.request(&parts.headers);
         let limit = self.limits.borrow().body_bytes;
-        let wait = Duration::from_millis(meta.deadline_ms.unwrap_or(BODY_MS));
-        let body = match timeout(wait, Limited::new(body, limit).collect()).await {
+        let body_timeout = Duration::from_millis(meta.deadline_ms.unwrap_or(BODY_TIMEOUT_MS));
+        let body = match timeout(body_timeout, Limited::new(body, limit).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) if error.is::<LengthLimitError>() => {
-                return own(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", None);
+                return problem_response(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", None);
             }
-            Ok(Err(_)) => return own(StatusCode::BAD_REQUEST, "body_unreadable", None),
-            Err(_) => return own(StatusCode::REQUEST_TIMEOUT, "body_too_slow", None),
+            Ok(Err(_)) => {
+                return problem_response(StatusCode::BAD_REQUEST, "body_unreadable", None);
+            }
+            Err(_) => return problem_response(StatusCode::REQUEST_TIMEOUT, "body_too_slow", None),
         };
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
         let id = RequestId(next_id());
@@ -257,16 +265,16 @@
             prefix: meta.prefix,
             tokens: meta.tokens,
         };
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             method: parts.method,
             uri: parts.uri,
             headers: parts.headers,
             body,
-            caller: meta.caller,
+            caller_id: meta.caller,
         };
         let (sender, commands) = unbounded_channel();
-        let pulse = Pulse::default();
-        self.events.arrive(arrival, Open::new(sender, pulse.clone()));
+        let progress = ProgressCounter::default();
+        self.events.send_request(arrival, RequestHandle::new(sender, progress.clone()));
         let exchange = Exchange {
             id,
             outgoing,
@@ -274,68 +282,76 @@
             dialect: self.dialect.clone(),
             events: self.events.clone(),
             metrics: self.metrics.clone(),
-            read: Instant::now(),
-            pulse,
+            received_at: Instant::now(),
+            progress,
         };
-        self.follow(exchange).await
+        self.await_outcome(exchange).await
     }
 
-    /// Follows a request until it has an answer.
-    async fn follow(&self, exchange: Exchange) -> Response<Body> {
+    /// Waits for the outcome of a request and responds.
+    async fn await_outcome(&self, exchange: Exchange) -> Response<ResponseBody> {
         let id = exchange.id();
-        let mut departure = Departure { id, events: self.events.clone(), armed: true };
-        let (exchange, outcome) = exchange.next().await;
-        departure.armed = false;
+        let mut notifier = LeaveNotifier { id, events: self.events.clone(), armed: true };
+        let (exchange, outcome) = exchange.next_outcome().await;
+        notifier.armed = false;
         match outcome {
-            Outcome::Pass(response, guard) => self.pass(response, guard, exchange),
-            Outcome::Refuse(refusal) => refuse(refusal),
-            Outcome::Cut => own(StatusCode::BAD_GATEWAY, "broken", None),
+            Outcome::Forward(response, guard) => self.forward(response, guard, exchange),
+            Outcome::Refuse(refusal) => refusal_response(refusal),
+            Outcome::Abort => problem_response(StatusCode::BAD_GATEWAY, "broken", None),
         }
     }
 
-    fn pass(
+    fn forward(
         &self,
         response: Response<Incoming>,
-        guard: Guard,
+        guard: ConnectionGuard,
         exchange: Exchange,
-    ) -> Response<Body> {
+    ) -> Response<ResponseBody> {
         let (mut parts, body) = response.into_parts();
-        strip(&mut parts.headers);
+        strip_connection_headers(&mut parts.headers);
         parts.version = Version::HTTP_11;
-        self.metrics.passed(parts.status);
-        let stream = parts.status.is_success() && is_stream(&parts.headers);
-        let relay = Relay::new(body, guard, exchange, self.events.clone(), stream);
+        self.metrics.count_response(parts.status);
+        let event_stream = parts.status.is_success() && is_event_stream(&parts.headers);
+        let relay = Relay::new(body, guard, exchange, self.events.clone(), event_stream);
         Response::from_parts(parts, Either::Left(relay))
     }
 }
 
-/// Whether an answer is a stream of events that ends where its endpoint says so.
+/// Returns whether a response is an event stream whose end the endpoint decides.
 ///
-/// One of a given length is not: what another run goes on with may have another one.
-fn is_stream(headers: &HeaderMap) -> bool {
-    let kind = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
-    let events = kind.is_some_and(|kind| kind.starts_with(EVENT_STREAM));
-    events && !headers.contains_key(CONTENT_LENGTH)
+/// One with a content length is not: a retry that resumes it may produce another length.
+fn is_event_stream(headers: &HeaderMap) -> bool {
+    let media_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
+    let is_stream = media_type.is_some_and(|media_type| media_type.starts_with(EVENT_STREAM));
+    is_stream && !headers.contains_key(CONTENT_LENGTH)
 }
 
-/// The next request's name in this process.
+/// Returns a request ID that is unique in this process.
 fn next_id() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-fn refuse(refusal: Refusal) -> Response<Body> {
+fn refusal_response(refusal: Refusal) -> Response<ResponseBody> {
     let status = StatusCode::from_u16(refusal.reason.status());
-    own(status.unwrap_or(StatusCode::BAD_GATEWAY), refusal.reason.word(), refusal.retry_ms)
+    problem_response(
+        status.unwrap_or(StatusCode::BAD_GATEWAY),
+        refusal.reason.word(),
+        refusal.retry_ms,
+    )
 }
 
-/// An answer of the system's own.
-fn own(status: StatusCode, word: &str, retry_ms: Option<u64>) -> Response<Body> {
+/// Builds a response of this process itself.
+fn problem_response(
+    status: StatusCode,
+    kind: &str,
+    retry_ms: Option<u64>,
+) -> Response<ResponseBody> {
     let ran = match status {
         StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => "unknown",
         _ => "no",
     };
-    let body = format!("{{\"type\":\"{word}\",\"ran\":\"{ran}\"}}");
+    let body = format!("{{\"type\":\"{kind}\",\"ran\":\"{ran}\"}}");
     let mut response = Response::new(Either::Right(Full::new(Bytes::from(body))));
     *response.status_mut() = status;
     let headers = response.headers_mut();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! Sockets and threads of the pool's processes.
+//! Sockets and threads of the pool's entry and side processes.
 //!
-//! One thread owns the reducer and decides; another drives all sockets on a single-threaded `tokio`
-//! runtime. They talk over channels, and closing a channel ends its task. How the platform spells
-//! its calls is behind [`Dialect`], so this crate knows none of its words.
+//! Each process has a control thread, which owns the state machine and makes all decisions, and a
+//! single-threaded `tokio` runtime, which drives all sockets. They communicate over channels; closing a
+//! channel ends the task that reads from it. The platform's paths, headers and encodings are behind
+//! [`Dialect`], so this crate doesn't depend on them.
 
 mod board;
 mod call;
@@ -26,6 +27,6 @@
     dialect::{Dialect, DialectError, OrderCall, RequestMeta, RowPage, RowValue, StoreRow, Table},
     entry::run_entry,
     error::GatewayError,
-    logs::{LogBudget, LogHandle, LogPipe, LogStats},
+    logs::{LogHandle, LogPipe, LogRateLimit, LogStats},
     side::run_side,
 };
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,4 +1,4 @@
-//! Framed messages between an entry and a side.
+//! Length-delimited messages between entries and sides.
 
 use bytes::{Bytes, BytesMut};
 use citronrill_wire::{FRAME_LIMIT, PoolFrame, PoolKind, WireError};
@@ -10,13 +10,13 @@
 };
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Reads messages.
+/// Receives messages.
 pub(crate) struct Receiver(FramedRead<OwnedReadHalf, LengthDelimitedCodec>);
 
-/// Writes messages.
+/// Sends messages.
 pub(crate) struct Sender(FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>);
 
-/// Splits a connection into both.
+/// Splits a connection into its receiver and sender.
 pub(crate) fn split(stream: TcpStream) -> (Receiver, Sender) {
     let codec = || LengthDelimitedCodec::builder().max_frame_length(FRAME_LIMIT).new_codec();
     let (read, write) = stream.into_split();
@@ -24,7 +24,7 @@
 }
 
 impl Receiver {
-    /// The next message.
+    /// Receives the next message.
     pub(crate) async fn next(&mut self) -> Result<PoolKind, WireError> {
         let bytes: BytesMut = self.0.next().await.ok_or(WireError::Closed)??;
         PoolFrame::decode(bytes)?.kind.ok_or(WireError::UnknownKind)
@@ -32,7 +32,7 @@
 }
 
 impl Sender {
-    /// Sends one message.
+    /// Sends a message.
     pub(crate) async fn send(&mut self, kind: PoolKind) -> Result<(), WireError> {
         let frame = PoolFrame { kind: Some(kind) };
         Ok(self.0.send(Bytes::from(frame.encode_to_vec())).await?)
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines without blocking: a bounded queue and a thread that writes.
+//! Non-blocking logging: a bounded queue and a writer thread.
 
 use std::{
     collections::BTreeMap,
@@ -14,51 +14,54 @@
 
 use crossbeam::channel::{Sender, TrySendError, bounded};
 
-/// Lines that wait at most: about a second of the busiest process at 200 bytes a line.
-const QUEUE: usize = 4_096;
+/// Capacity of the queue in lines: about a second of the busiest process at 200 bytes a line.
+const QUEUE_LINES: usize = 4_096;
 
-/// Milliseconds that the end of a process waits for its log.
+/// Milliseconds that a process waits for its log before it exits.
 const DRAIN_MS: u64 = 200;
-/// Lines of one kind of event in a second at most: an entry at the load it is sized for writes some
-/// 300 of the most frequent kind, and ten kinds at this bound stay within what the queue holds.
-const KIND_LIMIT: u32 = 400;
-/// Milliseconds of a budget's period.
-const PERIOD_MS: u64 = 1_000;
+/// Maximum number of lines of one kind of event per second: an entry at its design load writes some
+/// 300 of the most frequent kind, and ten kinds at this limit fit the queue.
+const MAX_LINES_PER_KIND: u32 = 400;
+/// Length of a rate limit window in milliseconds.
+const WINDOW_MS: u64 = 1_000;
 
-/// Bounds the lines of each kind of event in a second.
+/// Limits the lines of each kind of event per second.
 ///
-/// The failure it prevents: a fault that touches every request makes one kind of line flood the log,
-/// and what changes a belief, which explains the fault, drowns or is lost with it. Each kind has a
-/// budget of its own; what goes over it is counted and said when its second is over.
+/// A fault that affects every request would otherwise flood the log with one kind of line, and the lines
+/// that explain the fault would be hidden or dropped. Each kind has its own limit; the lines above it
+/// are counted, and the count is logged with the first line after the window.
 #[derive(Debug, Default)]
-pub struct LogBudget {
-    began: u64,
-    kinds: BTreeMap<&'static str, u32>,
+pub struct LogRateLimit {
+    window_start: u64,
+    counts: BTreeMap<&'static str, u32>,
 }
 
-impl LogBudget {
-    /// A budget that is full.
-    pub fn new() -> LogBudget {
-        LogBudget::default()
+impl LogRateLimit {
+    /// Creates a limit without any lines counted.
+    pub fn new() -> LogRateLimit {
+        LogRateLimit::default()
     }
 
-    /// Whether a line of this kind may be written at `now_ms`.
-    pub fn take(&mut self, kind: &'static str, now_ms: u64) -> bool {
-        if now_ms >= self.began + PERIOD_MS {
-            self.began = now_ms;
-            for (kind, lines) in std::mem::take(&mut self.kinds) {
-                if lines > KIND_LIMIT {
-                    log::warn!("event=log_left_out kind={kind} lines={}", lines - KIND_LIMIT);
+    /// Counts a line of this kind at `now_ms` and returns whether it may be written.
+    pub fn allow(&mut self, kind: &'static str, now_ms: u64) -> bool {
+        if now_ms >= self.window_start + WINDOW_MS {
+            self.window_start = now_ms;
+            for (kind, lines) in std::mem::take(&mut self.counts) {
+                if lines > MAX_LINES_PER_KIND {
+                    log::warn!(
+                        "event=log_left_out kind={kind} lines={}",
+                        lines - MAX_LINES_PER_KIND
+                    );
                 }
             }
         }
-        let lines = self.kinds.entry(kind).or_default();
+        let lines = self.counts.entry(kind).or_default();
         *lines += 1;
-        *lines <= KIND_LIMIT
+        *lines <= MAX_LINES_PER_KIND
     }
 }
 
-/// Counts of the log.
+/// Counts of log lines.
 #[derive(Debug, Default)]
 pub struct LogStats {
     written: AtomicU64,
@@ -66,97 +69,97 @@
 }
 
 impl LogStats {
-    /// Lines handed to the writer.
+    /// Returns the number of lines that were queued for writing.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 
-    /// Lines left out as the reader was too slow.
+    /// Returns the number of lines that were dropped because the reader was too slow.
     pub fn lost(&self) -> u64 {
         self.lost.load(Ordering::Relaxed)
     }
 }
 
-/// Hands whole lines to a thread that writes them.
+/// Passes whole lines to a writer thread.
 ///
-/// The failure it prevents: whoever reads standard output stops, the pipe fills, and every thread
-/// that logs hangs with its requests. Here the queue fills instead, and further lines are counted
-/// and left out; the next line that gets through says how many.
+/// If the reader of standard output stops and the pipe fills up, a direct write would block every thread
+/// that logs, and its requests. Here the queue fills instead and further lines are dropped and counted;
+/// the next batch that is written reports their number.
 pub struct LogPipe {
-    sender: Sender<Entry>,
+    sender: Sender<QueueItem>,
     stats: Arc<LogStats>,
 }
 
-/// What goes through the queue.
-enum Entry {
+/// An item of the queue.
+enum QueueItem {
     /// A whole line.
     Line(Vec<u8>),
-    /// All before it is to be written; then the sender is told.
+    /// Request to write all lines before it and then notify the sender.
     Drain(Sender<()>),
 }
 
-/// What a process needs of its log besides writing to it.
+/// Access of the process to its log, besides writing to it.
 #[derive(Clone)]
 pub struct LogHandle {
-    sender: Sender<Entry>,
+    sender: Sender<QueueItem>,
     /// The counts, for metrics.
     pub stats: Arc<LogStats>,
 }
 
 impl LogHandle {
-    /// Waits until everything logged so far is written, [`DRAIN_MS`] at most.
+    /// Waits until all lines logged so far are written, for at most [`DRAIN_MS`].
     ///
-    /// A process that ends right after its last line would else end before the line is written, and
-    /// the end of a planned stop was missing from its log.
+    /// Otherwise a process that exits right after its last line would lose it: the end of a planned
+    /// stop was missing from the log.
     pub fn drain(&self) {
-        let (told, done) = bounded(1);
+        let (sender, done) = bounded(1);
         let wait = Duration::from_millis(DRAIN_MS);
-        if self.sender.send_timeout(Entry::Drain(told), wait).is_ok() {
-            // Nobody is left to be told that the reader has stopped.
+        if self.sender.send_timeout(QueueItem::Drain(sender), wait).is_ok() {
+            // A timeout means that the reader has stopped; there is no place to report it.
             let _ = done.recv_timeout(wait);
         }
     }
 }
 
 impl LogPipe {
-    /// A pipe into `out`.
+    /// Creates a pipe into `out`.
     pub fn new(mut out: impl Write + Send + 'static) -> LogPipe {
-        let (sender, receiver) = bounded::<Entry>(QUEUE);
+        let (sender, receiver) = bounded::<QueueItem>(QUEUE_LINES);
         let stats = Arc::new(LogStats::default());
-        let counts = stats.clone();
+        let counters = stats.clone();
         thread::spawn(move || {
-            let mut told = 0;
-            while let Ok(entry) = receiver.recv() {
+            let mut reported = 0;
+            while let Ok(item) = receiver.recv() {
                 let mut batch = Vec::new();
                 let mut drains = Vec::new();
-                // No more than the queue holds: with writers that never pause, what is drained would
-                // else grow without bound and never be written.
-                for entry in iter::once(entry).chain(receiver.try_iter().take(QUEUE)) {
-                    match entry {
-                        Entry::Line(line) => batch.extend(line),
-                        Entry::Drain(told) => drains.push(told),
+                // At most the queue's capacity: with threads that log without pause the batch would
+                // otherwise grow without bound and never be written.
+                for item in iter::once(item).chain(receiver.try_iter().take(QUEUE_LINES)) {
+                    match item {
+                        QueueItem::Line(line) => batch.extend(line),
+                        QueueItem::Drain(sender) => drains.push(sender),
                     }
                 }
-                let lost = counts.lost();
-                if lost > told {
-                    let line = format!("level=warn event=log_lost lines={}\n", lost - told);
+                let lost = counters.lost();
+                if lost > reported {
+                    let line = format!("level=warn event=log_lost lines={}\n", lost - reported);
                     batch.extend(line.into_bytes());
-                    told = lost;
+                    reported = lost;
                 }
                 if out.write_all(&batch).and_then(|()| out.flush()).is_err() {
-                    // The reader is gone for good; there is nobody left to tell.
+                    // The reader has closed the pipe, so the error cannot be logged.
                     break;
                 }
-                for told in drains {
-                    // Whoever waited may have given up.
-                    let _ = told.send(());
+                for sender in drains {
+                    // The receiver may have timed out.
+                    let _ = sender.send(());
                 }
             }
         });
         LogPipe { sender, stats }
     }
 
-    /// The handle for the process's own use.
+    /// Returns the handle for the process itself.
     pub fn handle(&self) -> LogHandle {
         LogHandle { sender: self.sender.clone(), stats: self.stats.clone() }
     }
@@ -164,7 +167,7 @@
 
 impl Write for LogPipe {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        match self.sender.try_send(Entry::Line(line.to_vec())) {
+        match self.sender.try_send(QueueItem::Line(line.to_vec())) {
             Ok(()) => self.stats.written.fetch_add(1, Ordering::Relaxed),
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                 self.stats.lost.fetch_add(1, Ordering::Relaxed)
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters on the metrics address, as Prometheus text.
+//! Counters and histograms, served as Prometheus text on the metrics address.
 
 use std::{
     collections::BTreeMap,
@@ -22,71 +22,70 @@
 
 use crate::logs::LogStats;
 
-/// The longest time that is told apart, in milliseconds: no route lets a request last longer.
-const LONGEST_MS: u64 = 60_000;
+/// Upper bound of the histograms in milliseconds: no route allows a longer request.
+const MAX_MS: u64 = 60_000;
 
-/// A count that only rises.
+/// A monotonic counter.
 #[derive(Debug, Default)]
 pub(crate) struct Counter(AtomicU64);
 
 impl Counter {
-    /// Counts one.
-    pub(crate) fn add(&self) {
+    pub(crate) fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The count.
+    /// Returns the current count.
     pub(crate) fn value(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// A distribution of times in milliseconds.
+/// Histogram of durations in milliseconds.
 #[derive(Debug)]
-pub(crate) struct Times(Mutex<Histogram<u64>>);
+pub(crate) struct DurationHistogram(Mutex<Histogram<u64>>);
 
-impl Default for Times {
-    fn default() -> Times {
-        // The bounds are constants that the library accepts: 1 ms to [`LONGEST_MS`], two digits.
-        let histogram = Histogram::new_with_bounds(1, LONGEST_MS, 2);
+impl Default for DurationHistogram {
+    fn default() -> DurationHistogram {
+        // The bounds are constants that the library accepts: 1 ms to [`MAX_MS`], two significant digits.
+        let histogram = Histogram::new_with_bounds(1, MAX_MS, 2);
         let histogram = histogram.or_else(|_| Histogram::new(2));
-        Times(Mutex::new(histogram.expect("two digits are a valid precision")))
+        DurationHistogram(Mutex::new(histogram.expect("two digits are a valid precision")))
     }
 }
 
-impl Times {
-    /// Counts one time.
+impl DurationHistogram {
+    /// Records one duration.
     pub(crate) fn record(&self, time: Duration) {
-        let ms = (time.as_millis() as u64).clamp(1, LONGEST_MS);
+        let ms = (time.as_millis() as u64).clamp(1, MAX_MS);
         self.0.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(ms);
     }
 
-    /// Writes the distribution as a summary.
-    fn show(&self, text: &mut String, name: &str) {
-        let times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Writes the histogram as a Prometheus summary.
+    fn write_summary(&self, text: &mut String, name: &str) {
+        let histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         for quantile in [0.5, 0.9, 0.99] {
             let label = format!("{{quantile=\"{quantile}\"}}");
-            line(text, name, &label, times.value_at_quantile(quantile));
+            write_sample(text, name, &label, histogram.value_at_quantile(quantile));
         }
-        line(text, &format!("{name}_count"), "", times.len());
+        write_sample(text, &format!("{name}_count"), "", histogram.len());
     }
 }
 
-/// Something that shows itself as Prometheus text.
-pub(crate) trait Show: Send + Sync {
-    /// The text.
-    fn show(&self) -> String;
+/// Metrics of a process.
+pub(crate) trait Metrics: Send + Sync {
+    /// Returns the metrics as Prometheus text.
+    fn render(&self) -> String;
 }
 
-/// What an entry counts.
+/// Metrics of an entry.
 #[derive(Debug)]
 pub(crate) struct EntryMetrics {
     pub(crate) requests: Counter,
-    pub(crate) wants: Counter,
-    /// From a request read whole to its first sending.
-    pub(crate) waits: Times,
-    /// From a sending to the head of its answer.
-    pub(crate) heads: Times,
+    pub(crate) load_requests: Counter,
+    /// Time from a complete request to its first attempt.
+    pub(crate) queue_time: DurationHistogram,
+    /// Time from an attempt to the head of its response.
+    pub(crate) ttfb: DurationHistogram,
     statuses: Mutex<BTreeMap<u16, u64>>,
     refusals: Mutex<BTreeMap<&'static str, u64>>,
     logs: Arc<LogStats>,
@@ -96,64 +95,64 @@
     pub(crate) fn new(logs: Arc<LogStats>) -> EntryMetrics {
         EntryMetrics {
             requests: Counter::default(),
-            wants: Counter::default(),
-            waits: Times::default(),
-            heads: Times::default(),
+            load_requests: Counter::default(),
+            queue_time: DurationHistogram::default(),
+            ttfb: DurationHistogram::default(),
             statuses: Mutex::default(),
             refusals: Mutex::default(),
             logs,
         }
     }
 
-    /// Counts an answer of an endpoint.
-    pub(crate) fn passed(&self, status: StatusCode) {
+    /// Counts a response of an endpoint.
+    pub(crate) fn count_response(&self, status: StatusCode) {
         let mut statuses = self.statuses.lock().unwrap_or_else(PoisonError::into_inner);
         *statuses.entry(status.as_u16()).or_default() += 1;
     }
 
-    /// Counts an answer of the system's own.
-    pub(crate) fn refused(&self, reason: Reason) {
+    /// Counts a refusal.
+    pub(crate) fn count_refusal(&self, reason: Reason) {
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         *refusals.entry(reason.word()).or_default() += 1;
     }
 }
 
-impl Show for EntryMetrics {
-    fn show(&self) -> String {
+impl Metrics for EntryMetrics {
+    fn render(&self) -> String {
         let mut text = String::new();
-        line(&mut text, "citronrill_requests_total", "", self.requests.value());
-        line(&mut text, "citronrill_wants_total", "", self.wants.value());
-        self.waits.show(&mut text, "citronrill_wait_ms");
-        self.heads.show(&mut text, "citronrill_head_ms");
+        write_sample(&mut text, "citronrill_requests_total", "", self.requests.value());
+        write_sample(&mut text, "citronrill_wants_total", "", self.load_requests.value());
+        self.queue_time.write_summary(&mut text, "citronrill_wait_ms");
+        self.ttfb.write_summary(&mut text, "citronrill_head_ms");
         let statuses = self.statuses.lock().unwrap_or_else(PoisonError::into_inner);
         for (status, count) in statuses.iter() {
             let label = format!("{{status=\"{status}\"}}");
-            line(&mut text, "citronrill_answers_total", &label, *count);
+            write_sample(&mut text, "citronrill_answers_total", &label, *count);
         }
         let refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         for (reason, count) in refusals.iter() {
             let label = format!("{{reason=\"{reason}\"}}");
-            line(&mut text, "citronrill_refusals_total", &label, *count);
+            write_sample(&mut text, "citronrill_refusals_total", &label, *count);
         }
-        log_lines(&mut text, &self.logs);
+        write_log_counts(&mut text, &self.logs);
         text
     }
 }
 
 /// Writes one sample.
-pub(crate) fn line(text: &mut String, name: &str, labels: &str, value: u64) {
+pub(crate) fn write_sample(text: &mut String, name: &str, labels: &str, value: u64) {
     // Writing to a string cannot fail.
     let _ = writeln!(text, "{name}{labels} {value}");
 }
 
-/// Writes the counts of the log.
-pub(crate) fn log_lines(text: &mut String, logs: &LogStats) {
-    line(text, "citronrill_log_lines_total", "", logs.written());
-    line(text, "citronrill_log_lost_total", "", logs.lost());
+/// Writes the counts of log lines.
+pub(crate) fn write_log_counts(text: &mut String, logs: &LogStats) {
+    write_sample(text, "citronrill_log_lines_total", "", logs.written());
+    write_sample(text, "citronrill_log_lost_total", "", logs.lost());
 }
 
-/// Serves `shown` at `address` for good.
-pub(crate) async fn serve_metrics(address: SocketAddr, shown: Arc<impl Show + 'static>) {
+/// Serves `metrics` at `address` until the process ends.
+pub(crate) async fn serve_metrics(address: SocketAddr, metrics: Arc<impl Metrics + 'static>) {
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(error) => {
@@ -166,10 +165,10 @@
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let shown = shown.clone();
+        let metrics = metrics.clone();
         tokio::spawn(async move {
             let service = service_fn(move |_| {
-                let text = shown.show();
+                let text = metrics.render();
                 async move { Ok::<_, Infallible>(Response::new(Full::new(Bytes::from(text)))) }
             });
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! An endpoint's answer on its way to the caller.
+//! Forwards an endpoint's response body to the caller, across failovers.
 
 use std::{
     future::Future,
@@ -12,63 +12,67 @@
 use thiserror::Error;
 
 use crate::{
-    call::Guard,
-    entry::{Command, Events},
-    events::EventCutter,
+    call::ConnectionGuard,
+    entry::{Command, EventSender},
+    events::EventSplitter,
     exchange::{Exchange, Outcome},
 };
 
-/// Why an answer ends early.
+/// Why a response ends early.
 #[derive(Debug, Error)]
 pub(crate) enum RelayError {
-    /// The endpoint broke off.
-    #[error("the endpoint broke off: {0}")]
+    /// The endpoint closed the connection before the end.
+    #[error("endpoint closed the connection before the end of the response: {0}")]
     Endpoint(#[from] hyper::Error),
-    /// The request's time is up, or its stream cannot go on.
-    #[error("the answer is broken off")]
-    Cut,
+    /// The deadline has passed, or the stream cannot be resumed.
+    #[error("response aborted")]
+    Aborted,
 }
 
-/// What goes on while an answer has no endpoint.
-type Search = Pin<Box<dyn Future<Output = (Exchange, Outcome)> + Send>>;
+/// Waits for the control thread to resume the stream on another endpoint.
+type Failover = Pin<Box<dyn Future<Output = (Exchange, Outcome)> + Send>>;
 
-/// What the caller gets next: bytes, an error, or the end.
-type Next = Option<Result<Frame<Bytes>, RelayError>>;
+/// The result of polling the body: a frame, an error, or the end.
+type NextFrame = Option<Result<Frame<Bytes>, RelayError>>;
 
-/// Where the bytes come from.
+/// Where the body's bytes come from.
 enum Source {
-    /// An endpoint; its connection is closed with the guard.
-    Endpoint(Incoming, Box<Exchange>, #[allow(dead_code, reason = "held for its end")] Guard),
-    /// The endpoint broke off, and another one is asked to go on.
-    Search(Search),
-    /// Nowhere any more.
+    /// An endpoint; dropping the guard closes its connection.
+    Endpoint(
+        Incoming,
+        Box<Exchange>,
+        #[allow(dead_code, reason = "held for its end")] ConnectionGuard,
+    ),
+    /// No endpoint: the stream broke off and is being resumed on another one.
+    Failover(Failover),
+    /// The body has ended.
     Ended,
 }
 
-/// The body of an answer, passed on as it comes.
+/// The body of a response, forwarded as it arrives.
 ///
-/// An answer that the endpoint breaks off and that cannot go on ends with an error here, which closes
-/// the caller's connection without the mark of a complete body: it must not look whole.
+/// A response that breaks off and cannot be resumed ends with an error. It closes the caller's
+/// connection without the terminating chunk, so that the response doesn't look complete.
 pub(crate) struct Relay {
     id: RequestId,
     source: Source,
-    events: Events,
-    /// Set for streams of events, which may go on elsewhere.
-    cutter: Option<EventCutter>,
+    events: EventSender,
+    /// Set for event streams, which may be resumed on another endpoint.
+    splitter: Option<EventSplitter>,
 }
 
 impl Relay {
-    /// Passes `body` on; `stream` says that it is a stream of events.
+    /// Forwards `body`; `stream` is set if it is an event stream.
     pub(crate) fn new(
         body: Incoming,
-        guard: Guard,
+        guard: ConnectionGuard,
         exchange: Exchange,
-        events: Events,
+        events: EventSender,
         stream: bool,
     ) -> Relay {
         let id = exchange.id();
         let source = Source::Endpoint(body, Box::new(exchange), guard);
-        Relay { id, source, events, cutter: stream.then(EventCutter::default) }
+        Relay { id, source, events, splitter: stream.then(EventSplitter::default) }
     }
 
     fn end(&mut self, complete: bool) {
@@ -76,29 +80,33 @@
         self.events.send(EntryEvent::Finish(self.id, complete));
     }
 
-    /// Takes what the endpoint gave; `None` if the caller gets nothing of it.
-    fn take(&mut self, frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Option<Next> {
+    /// Handles a frame of the endpoint's body; returns `None` if nothing of it is forwarded.
+    fn handle_frame(
+        &mut self,
+        frame: Option<Result<Frame<Bytes>, hyper::Error>>,
+    ) -> Option<NextFrame> {
         match frame {
             None => {
-                let rest = self.cutter.as_mut().map(EventCutter::end).unwrap_or_default();
+                let remainder =
+                    self.splitter.as_mut().map(EventSplitter::finish).unwrap_or_default();
                 self.end(true);
-                Some((!rest.is_empty()).then(|| Ok(Frame::data(rest))))
+                Some((!remainder.is_empty()).then(|| Ok(Frame::data(remainder))))
             }
-            Some(Err(error)) if self.cutter.is_none() => {
+            Some(Err(error)) if self.splitter.is_none() => {
                 self.end(false);
                 Some(Some(Err(error.into())))
             }
             Some(Err(error)) => {
                 log::debug!("event=stream_broken request={} error=\"{error}\"", self.id.0);
-                self.search();
+                self.fail_over();
                 None
             }
             Some(Ok(frame)) => {
                 if let Source::Endpoint(_, exchange, _) = &self.source {
-                    exchange.pulse.beat();
+                    exchange.progress.increment();
                 }
-                let frame = match &mut self.cutter {
-                    Some(cutter) => frame.map_data(|bytes| cutter.take(bytes)),
+                let frame = match &mut self.splitter {
+                    Some(splitter) => frame.map_data(|bytes| splitter.push(bytes)),
                     None => frame,
                 };
                 if frame.data_ref().is_some_and(Bytes::is_empty) {
@@ -109,17 +117,17 @@
         }
     }
 
-    /// Says that the stream broke off, and waits for what becomes of it.
-    fn search(&mut self) {
-        let last = self.cutter.as_mut().and_then(|cutter| {
-            cutter.next_run();
-            cutter.last()
+    /// Reports that the stream broke off and waits for the control thread to fail over.
+    fn fail_over(&mut self) {
+        let last_event = self.splitter.as_mut().and_then(|splitter| {
+            splitter.start_attempt();
+            splitter.last_id()
         });
-        // The connection to the endpoint is closed here, before the run goes on elsewhere.
+        // Closes the connection to the endpoint before the stream is resumed on another one.
         if let Source::Endpoint(_, exchange, _) = std::mem::replace(&mut self.source, Source::Ended)
         {
-            self.source = Source::Search(Box::pin(exchange.next()));
-            self.events.send(EntryEvent::Broke(self.id, last));
+            self.source = Source::Failover(Box::pin(exchange.next_outcome()));
+            self.events.send(EntryEvent::Broke(self.id, last_event));
         }
     }
 }
@@ -132,18 +140,18 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, RelayError>>> {
-        let stream = self.cutter.is_some();
+        let stream = self.splitter.is_some();
         loop {
             match &mut self.source {
                 Source::Ended => return Poll::Ready(None),
                 Source::Endpoint(body, exchange, _) => {
                     match exchange.poll_command(context) {
-                        Poll::Ready(Some(Command::Cut)) => {
+                        Poll::Ready(Some(Command::Abort)) => {
                             self.source = Source::Ended;
-                            return Poll::Ready(Some(Err(RelayError::Cut)));
+                            return Poll::Ready(Some(Err(RelayError::Aborted)));
                         }
-                        Poll::Ready(Some(Command::Abandon)) if stream => {
-                            self.search();
+                        Poll::Ready(Some(Command::Disconnect)) if stream => {
+                            self.fail_over();
                             continue;
                         }
                         _ => {}
@@ -151,17 +159,17 @@
                     let Poll::Ready(frame) = Pin::new(body).poll_frame(context) else {
                         return Poll::Pending;
                     };
-                    if let Some(next) = self.take(frame) {
+                    if let Some(next) = self.handle_frame(frame) {
                         return Poll::Ready(next);
                     }
                 }
-                Source::Search(search) => {
-                    let Poll::Ready((exchange, outcome)) = search.as_mut().poll(context) else {
+                Source::Failover(failover) => {
+                    let Poll::Ready((exchange, outcome)) = failover.as_mut().poll(context) else {
                         return Poll::Pending;
                     };
-                    let Outcome::Pass(response, guard) = outcome else {
+                    let Outcome::Forward(response, guard) = outcome else {
                         self.source = Source::Ended;
-                        return Poll::Ready(Some(Err(RelayError::Cut)));
+                        return Poll::Ready(Some(Err(RelayError::Aborted)));
                     };
                     let body = response.into_body();
                     self.source = Source::Endpoint(body, Box::new(exchange), guard);
@@ -172,27 +180,27 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.source {
-            Source::Endpoint(body, ..) => self.cutter.is_none() && body.is_end_stream(),
-            Source::Search(_) => false,
+            Source::Endpoint(body, ..) => self.splitter.is_none() && body.is_end_stream(),
+            Source::Failover(_) => false,
             Source::Ended => true,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Endpoint(body, ..) if self.cutter.is_none() => body.size_hint(),
+            Source::Endpoint(body, ..) if self.splitter.is_none() => body.size_hint(),
             _ => SizeHint::default(),
         }
     }
 }
 
 impl Drop for Relay {
-    /// A body that is dropped before its end has lost its caller, unless all of it was passed on.
+    /// Reports the end of a body that was forwarded completely, or that the caller disconnected.
     fn drop(&mut self) {
         let event = match &self.source {
             Source::Ended => return,
             Source::Endpoint(body, ..) if body.is_end_stream() => EntryEvent::Finish(self.id, true),
-            Source::Endpoint(..) | Source::Search(_) => EntryEvent::Leave(self.id),
+            Source::Endpoint(..) | Source::Failover(_) => EntryEvent::Leave(self.id),
         };
         self.events.send(event);
     }
--- a/crates/gateway/src/seeds.rs
+++ b/crates/gateway/src/seeds.rs
@@ -1,10 +1,11 @@
-//! What an entry that starts while the store is away learns from another entry.
+//! Bootstraps an entry from other entries while the platform store is unavailable.
 //!
-//! The failure it meets: a process is killed and starts again during an outage of the store. It knows
-//! neither text nor endpoints and would refuse everybody until the store is back, though the entries
-//! beside it serve. So each entry tells what it believes to whoever connects to its address for peers,
-//! and one that cannot read the store asks the peers that its settings name. The store's own word
-//! replaces theirs as soon as it comes; a text never goes back, whoever told it.
+//! A process that is killed and restarted during an outage of the store knows neither the configuration
+//! nor the endpoints. It would refuse every request until the store is back, although other entries
+//! still serve. So each entry sends a snapshot of its view to any process that connects to its address
+//! for peers, and an entry that cannot read the store asks the peers in its settings. The store's data
+//! replaces theirs as soon as it arrives; an older configuration never replaces a newer one, whatever
+//! its source.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,91 +17,99 @@
 };
 
 use crate::{
-    board::Board,
-    call::{connect, tune},
+    board::PlatformView,
+    call::{connect, set_socket_options},
     link::{Receiver, Sender, split},
 };
 
-/// Milliseconds that the store is given before peers are asked: it answers within a few.
-const STORE_FIRST_MS: u64 = 250;
-/// Milliseconds for a connection to a peer; some of those that are named may be down.
-const CONNECT_MS: u64 = 150;
-/// Milliseconds for one message of a peer.
-const ANSWER_MS: u64 = 500;
+/// Milliseconds for the store to answer before peers are asked: it normally takes a few.
+const STORE_GRACE_MS: u64 = 250;
+/// Milliseconds to connect to a peer; some of the configured peers may be down.
+const CONNECT_TIMEOUT_MS: u64 = 150;
+/// Milliseconds to receive a message from a peer.
+const MESSAGE_TIMEOUT_MS: u64 = 500;
 /// Milliseconds before the peers are asked again.
-const AGAIN_MS: u64 = 400;
+const RETRY_PAUSE_MS: u64 = 400;
 
-/// Tells whoever connects what this entry believes, for good.
-pub(crate) async fn serve_seeds(listener: TcpListener, board: Board) {
+/// Accepts connections of peers and sends each a snapshot, until the process ends.
+pub(crate) async fn serve_snapshots(listener: TcpListener, view: PlatformView) {
     loop {
-        let Ok((stream, from)) = listener.accept().await else {
+        let Ok((stream, peer)) = listener.accept().await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let board = board.clone();
+        let view = view.clone();
         tokio::spawn(async move {
-            if let Err(error) = tell(stream, from, &board).await {
-                log::info!("event=snapshot_untold to={from} error=\"{error}\"");
+            if let Err(error) = serve_peer(stream, peer, &view).await {
+                log::info!("event=snapshot_untold to={peer} error=\"{error}\"");
             }
-            board.peer_gone(from);
+            view.peer_disconnected(peer);
         });
     }
 }
 
-async fn tell(stream: TcpStream, from: SocketAddr, board: &Board) -> Result<(), WireError> {
-    tune(&stream);
+async fn serve_peer(
+    stream: TcpStream,
+    peer: SocketAddr,
+    view: &PlatformView,
+) -> Result<(), WireError> {
+    set_socket_options(&stream);
     let (mut receiver, mut sender) = split(stream);
-    // An entry that knows nothing itself says so, or the asker would wait for its word.
-    sender.send(PoolKind::Snapshot(board.snapshot().unwrap_or_default())).await?;
-    // The asker closes once it has what it needs; closing first could reset what is still on its way.
+    // An entry without data sends an empty snapshot, or the peer would wait for one.
+    sender.send(PoolKind::Snapshot(view.snapshot().unwrap_or_default())).await?;
+    // The peer closes the connection when it is done; closing it here could reset data in transit.
     loop {
-        match timeout(Duration::from_millis(ANSWER_MS), receiver.next()).await {
+        match timeout(Duration::from_millis(MESSAGE_TIMEOUT_MS), receiver.next()).await {
             Ok(Err(WireError::Closed)) | Err(_) => return Ok(()),
             Ok(Err(error)) => return Err(error),
-            Ok(Ok(PoolKind::TextAsk(ask))) => {
-                sender.send(PoolKind::TextPart(board.answer(from, &ask))).await?;
+            Ok(Ok(PoolKind::TextAsk(request))) => {
+                sender.send(PoolKind::TextPart(view.config_chunk(peer, &request))).await?;
             }
             Ok(Ok(_)) => return Err(WireError::OutOfTurn),
         }
     }
 }
 
-/// Asks the peers one after the other until text and endpoints are known, from them or the store.
-pub(crate) async fn ask_seeds(seeds: Vec<SocketAddr>, own: Option<SocketAddr>, board: Board) {
-    sleep(Duration::from_millis(STORE_FIRST_MS)).await;
-    while !board.complete() {
+/// Asks the peers in turn until the configuration and the member list are known, from them or the store.
+pub(crate) async fn bootstrap_from_seeds(
+    seeds: Vec<SocketAddr>,
+    own: Option<SocketAddr>,
+    view: PlatformView,
+) {
+    sleep(Duration::from_millis(STORE_GRACE_MS)).await;
+    while !view.is_complete() {
         for seed in seeds.iter().filter(|seed| Some(**seed) != own) {
-            if board.complete() {
+            if view.is_complete() {
                 return;
             }
-            if let Err(error) = ask(*seed, &board).await {
+            if let Err(error) = query_seed(*seed, &view).await {
                 log::info!("event=peer_silent peer={seed} error=\"{error}\"");
             }
         }
-        sleep(Duration::from_millis(AGAIN_MS)).await;
+        sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
     }
 }
 
-/// Takes what one peer believes: the list first, as the sides that it leads to may have the text while
-/// the peer serves others.
-async fn ask(seed: SocketAddr, board: &Board) -> Result<(), WireError> {
-    let stream = connect(seed, CONNECT_MS).await;
+/// Fetches the view of one peer: the member list first, because the sides that it names may serve the
+/// configuration while the peer is busy with others.
+async fn query_seed(seed: SocketAddr, view: &PlatformView) -> Result<(), WireError> {
+    let stream = connect(seed, CONNECT_TIMEOUT_MS).await;
     let stream = stream.map_err(|error| WireError::Io(std::io::Error::other(error.to_string())))?;
     let (mut receiver, mut sender) = split(stream);
-    let PoolKind::Snapshot(snapshot) = heard(&mut receiver).await? else {
+    let PoolKind::Snapshot(snapshot) = receive(&mut receiver).await? else {
         return Err(WireError::OutOfTurn);
     };
     let version = snapshot.text;
-    board.take_snapshot(snapshot, seed);
-    if version > board.text_version() {
-        let text = ask_text(version, &mut receiver, &mut sender).await?;
-        board.offer(&text, "peer");
+    view.apply_snapshot(snapshot, seed);
+    if version > view.config_version() {
+        let config = fetch_config(version, &mut receiver, &mut sender).await?;
+        view.offer_config(&config, "peer");
     }
     Ok(())
 }
 
-/// Asks for a text piece by piece, so that no timeout depends on its size.
-async fn ask_text(
+/// Fetches a configuration in chunks, so that no timeout depends on its size.
+async fn fetch_config(
     version: u64,
     receiver: &mut Receiver,
     sender: &mut Sender,
@@ -109,21 +118,21 @@
     loop {
         let offset = bytes.len() as u64;
         sender.send(PoolKind::TextAsk(TextAsk { version, offset })).await?;
-        let PoolKind::TextPart(part) = heard(receiver).await? else {
+        let PoolKind::TextPart(chunk) = receive(receiver).await? else {
             return Err(WireError::OutOfTurn);
         };
-        // Another version has come meanwhile, or the peer serves others; the next try begins anew.
-        if part.version != version || part.offset != offset || part.bytes.is_empty() {
+        // The peer has a newer version by now, or is busy with others; the next attempt starts over.
+        if chunk.version != version || chunk.offset != offset || chunk.bytes.is_empty() {
             return Err(WireError::OutOfTurn);
         }
-        bytes.extend_from_slice(&part.bytes);
-        if is_last(&part) {
+        bytes.extend_from_slice(&chunk.bytes);
+        if is_last(&chunk) {
             return Ok(bytes);
         }
     }
 }
 
-async fn heard(receiver: &mut Receiver) -> Result<PoolKind, WireError> {
-    let told = timeout(Duration::from_millis(ANSWER_MS), receiver.next()).await;
-    told.map_err(|_| WireError::Closed)?
+async fn receive(receiver: &mut Receiver) -> Result<PoolKind, WireError> {
+    let message = timeout(Duration::from_millis(MESSAGE_TIMEOUT_MS), receiver.next()).await;
+    message.map_err(|_| WireError::Closed)?
 }
--- a/crates/gateway/src/side/engine.rs
+++ b/crates/gateway/src/side/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to the endpoint beside a side.
+//! A side's HTTP calls to its endpoint.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -10,70 +10,71 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    call::{Control, get},
+    call::{ControlClient, get},
     dialect::Dialect,
     error::GatewayError,
 };
 
-/// Milliseconds for the endpoint's state: it answers within a few, and an old one is of no use.
-const REPORT_MS: u64 = 400;
-/// Milliseconds for an answer to an order.
-const ORDER_MS: u64 = 400;
+/// Milliseconds for a state report: it normally takes a few, and an old report is useless.
+const REPORT_TIMEOUT_MS: u64 = 400;
+/// Milliseconds for the response to an order.
+const ORDER_TIMEOUT_MS: u64 = 400;
 
-/// What the control thread asks of the traffic runtime.
-pub(super) enum Task {
+/// A call that the control thread requests.
+pub(super) enum EndpointCall {
     Poll,
-    /// Ask for the endpoint's name on this path.
-    Identify(String),
+    /// Query the endpoint's name on this path.
+    QueryName(String),
     Order(Order),
 }
 
-/// The calls to the endpoint.
-pub(super) struct Engine {
+/// Makes the calls to the endpoint.
+pub(super) struct EndpointClient {
     pub(super) address: SocketAddr,
-    /// By which name it gives orders.
+    /// Name under which the side sends orders.
     pub(super) holder: String,
     pub(super) dialect: Arc<dyn Dialect>,
     pub(super) events: Sender<SideEvent>,
 }
 
-impl Engine {
-    /// Carries out what is asked until the control thread ends.
-    pub(super) async fn run(self, mut tasks: mpsc::UnboundedReceiver<Task>) {
+impl EndpointClient {
+    /// Makes the requested calls until the control thread ends.
+    pub(super) async fn run(self, mut calls: mpsc::UnboundedReceiver<EndpointCall>) {
         let this = Arc::new(self);
-        let mut reports = Control::new(this.address);
-        while let Some(task) = tasks.recv().await {
-            match task {
-                Task::Poll => {
-                    let report = this.report(&mut reports).await;
-                    this.tell(SideEvent::Report(report));
+        let mut report_client = ControlClient::new(this.address);
+        while let Some(call) = calls.recv().await {
+            match call {
+                EndpointCall::Poll => {
+                    let report = this.fetch_report(&mut report_client).await;
+                    this.send_event(SideEvent::Report(report));
                 }
-                Task::Identify(path) => {
+                EndpointCall::QueryName(path) => {
                     let this = this.clone();
-                    tokio::spawn(async move { this.identify(&path).await });
+                    tokio::spawn(async move { this.query_name(&path).await });
                 }
-                Task::Order(order) => {
+                EndpointCall::Order(order) => {
                     let this = this.clone();
-                    // A silent order must not hold up the looks that show what became of it.
+                    // In its own task: an order without a response must not delay the polls that
+                    // show its effect.
                     tokio::spawn(async move {
-                        let (outcome, instance) = this.order(&order).await;
-                        this.tell(SideEvent::Ordered(order.number, outcome, instance));
+                        let (outcome, instance) = this.send_order(&order).await;
+                        this.send_event(SideEvent::Ordered(order.number, outcome, instance));
                     });
                 }
             }
         }
     }
 
-    fn tell(&self, event: SideEvent) {
+    fn send_event(&self, event: SideEvent) {
         if self.events.send(event).is_err() {
             log::debug!("event=control_gone");
         }
     }
 
-    async fn report(&self, control: &mut Control) -> Option<EngineReport> {
+    async fn fetch_report(&self, client: &mut ControlClient) -> Option<EngineReport> {
         let read = async {
             let request = get(self.address, self.dialect.report_path())?;
-            let response = control.call(request, REPORT_MS).await?;
+            let response = client.call(request, REPORT_TIMEOUT_MS).await?;
             if response.status() != StatusCode::OK {
                 return Err(GatewayError::Status(response.status().as_u16()));
             }
@@ -88,22 +89,22 @@
         }
     }
 
-    /// Asks the endpoint for its name; whatever it says of its health, the answer bears it.
-    async fn identify(&self, path: &str) {
-        let asked = async {
+    /// Queries the endpoint's name; the response carries it whatever the endpoint's health.
+    async fn query_name(&self, path: &str) {
+        let response = async {
             let request = get(self.address, path)?;
-            Control::new(self.address).call(request, REPORT_MS).await
+            ControlClient::new(self.address).call(request, REPORT_TIMEOUT_MS).await
         };
-        match asked.await {
+        match response.await {
             Ok(response) => match self.dialect.named(response.headers()) {
-                Some(name) => self.tell(SideEvent::Named(name)),
+                Some(name) => self.send_event(SideEvent::Named(name)),
                 None => log::info!("event=endpoint_unnamed status={}", response.status()),
             },
             Err(error) => log::info!("event=endpoint_unnamed error=\"{error}\""),
         }
     }
 
-    async fn order(&self, order: &Order) -> (OrderOutcome, Option<String>) {
+    async fn send_order(&self, order: &Order) -> (OrderOutcome, Option<String>) {
         let call = self.dialect.order(order, &self.holder);
         let mut request = Request::new(Full::new(Bytes::from(call.body)));
         *request.method_mut() = hyper::Method::POST;
@@ -114,7 +115,7 @@
         if let Ok(host) = hyper::header::HeaderValue::from_str(&self.address.to_string()) {
             request.headers_mut().insert(hyper::header::HOST, host);
         }
-        match Control::new(self.address).call(request, ORDER_MS).await {
+        match ControlClient::new(self.address).call(request, ORDER_TIMEOUT_MS).await {
             Ok(response) => {
                 let status = response.status();
                 log::debug!("event=order_status order={} status={status}", order.number);
--- a/crates/gateway/src/side/entries.rs
+++ b/crates/gateway/src/side/entries.rs
@@ -1,4 +1,4 @@
-//! Connections of entries to a side.
+//! A side's connections from entries.
 
 use std::{
     collections::BTreeMap,
@@ -19,95 +19,97 @@
 
 use super::SideMetrics;
 use crate::{
-    call::tune,
-    copies::{Copies, fetch_copies},
+    call::set_socket_options,
+    copies::{ConfigTransfer, run_config_fetch},
     dialect::Dialect,
     link::split,
 };
 
-/// What the connections to entries share.
-pub(super) struct Shared {
+/// State shared by the connections from entries.
+pub(super) struct ConnectionContext {
     pub(super) dialect: Arc<dyn Dialect>,
     pub(super) events: Sender<SideEvent>,
-    pub(super) texts: watch::Sender<Option<TextCopy>>,
+    pub(super) config: watch::Sender<Option<TextCopy>>,
     pub(super) states: watch::Receiver<Option<SideState>>,
-    pub(super) links: Arc<Links>,
-    pub(super) copies: Copies<EntryLink>,
+    pub(super) connections: Arc<EntryConnections>,
+    pub(super) transfer: ConfigTransfer<EntryLink>,
     pub(super) metrics: Arc<SideMetrics>,
 }
 
-/// The connections to entries.
+/// The open connections from entries.
 #[derive(Default)]
-pub(super) struct Links {
-    next: AtomicU64,
-    open: Mutex<BTreeMap<EntryLink, mpsc::UnboundedSender<PoolKind>>>,
+pub(super) struct EntryConnections {
+    next_id: AtomicU64,
+    senders: Mutex<BTreeMap<EntryLink, mpsc::UnboundedSender<PoolKind>>>,
 }
 
-impl Links {
-    fn change<T>(
+impl EntryConnections {
+    fn with_senders<T>(
         &self,
-        change: impl FnOnce(&mut BTreeMap<EntryLink, mpsc::UnboundedSender<PoolKind>>) -> T,
+        access: impl FnOnce(&mut BTreeMap<EntryLink, mpsc::UnboundedSender<PoolKind>>) -> T,
     ) -> T {
-        change(&mut self.open.lock().unwrap_or_else(PoisonError::into_inner))
+        access(&mut self.senders.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Says something to one entry, if it is still there.
-    pub(super) fn say(&self, link: EntryLink, kind: PoolKind) {
-        let sent = self.change(|open| open.get(&link).is_some_and(|one| one.send(kind).is_ok()));
+    /// Sends a message to one entry, if it is still connected.
+    pub(super) fn send(&self, link: EntryLink, message: PoolKind) {
+        let sent = self.with_senders(|senders| {
+            senders.get(&link).is_some_and(|sender| sender.send(message).is_ok())
+        });
         if !sent {
             log::debug!("event=entry_gone link={}", link.0);
         }
     }
 }
 
-/// Takes connections of entries for good.
-pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+/// Accepts connections from entries until the process ends.
+pub(super) async fn accept_entries(listener: TcpListener, context: Arc<ConnectionContext>) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                tokio::spawn(attend(stream, from, shared.clone()));
+                tokio::spawn(serve_entry(stream, from, context.clone()));
             }
             Err(error) => log::warn!("event=accept_failed error=\"{error}\""),
         }
     }
 }
 
-/// Serves one entry's connection.
-async fn attend(stream: TcpStream, from: SocketAddr, shared: Arc<Shared>) {
-    tune(&stream);
-    let link = EntryLink(shared.links.next.fetch_add(1, Ordering::Relaxed));
+/// Serves the connection of one entry.
+async fn serve_entry(stream: TcpStream, from: SocketAddr, context: Arc<ConnectionContext>) {
+    set_socket_options(&stream);
+    let link = EntryLink(context.connections.next_id.fetch_add(1, Ordering::Relaxed));
     let (sender, replies) = mpsc::unbounded_channel();
-    let entries = shared.links.change(|open| {
-        open.insert(link, sender);
-        open.len()
+    let entries = context.connections.with_senders(|senders| {
+        senders.insert(link, sender);
+        senders.len()
     });
     log::info!("event=entry_connected from={from} entries={entries}");
-    tell_count(&shared, entries);
-    if let Err(error) = converse(stream, link, replies, &shared).await {
+    report_entry_count(&context, entries);
+    if let Err(error) = exchange_messages(stream, link, replies, &context).await {
         log::info!("event=entry_lost from={from} error=\"{error}\"");
     }
-    shared.copies.gone(link);
-    let entries = shared.links.change(|open| {
-        open.remove(&link);
-        open.len()
+    context.transfer.disconnect(link);
+    let entries = context.connections.with_senders(|senders| {
+        senders.remove(&link);
+        senders.len()
     });
-    tell_count(&shared, entries);
+    report_entry_count(&context, entries);
 }
 
-fn tell_count(shared: &Shared, entries: usize) {
-    if shared.events.send(SideEvent::Entries(entries as u32)).is_err() {
+fn report_entry_count(context: &ConnectionContext, entries: usize) {
+    if context.events.send(SideEvent::Entries(entries as u32)).is_err() {
         log::debug!("event=control_gone");
     }
 }
 
-async fn converse(
+async fn exchange_messages(
     stream: TcpStream,
     link: EntryLink,
     mut replies: mpsc::UnboundedReceiver<PoolKind>,
-    shared: &Shared,
+    context: &ConnectionContext,
 ) -> Result<(), WireError> {
     let (mut receiver, mut sender) = split(stream);
-    let mut states = shared.states.clone();
+    let mut states = context.states.clone();
     states.mark_changed();
     loop {
         tokio::select! {
@@ -119,65 +121,71 @@
                 }
             }
             Some(reply) = replies.recv() => sender.send(reply).await?,
-            heard = receiver.next() => take(heard?, link, shared)?,
+            message = receiver.next() => handle_message(message?, link, context)?,
         }
     }
 }
 
-fn take(kind: PoolKind, link: EntryLink, shared: &Shared) -> Result<(), WireError> {
-    let event = match kind {
-        PoolKind::Want(want) => SideEvent::Want(link, want),
-        PoolKind::Used(used) => SideEvent::Used(used),
-        PoolKind::Version(text) => {
-            shared.copies.tell(CopyEvent::Offered(link, text.version));
+fn handle_message(
+    message: PoolKind,
+    link: EntryLink,
+    context: &ConnectionContext,
+) -> Result<(), WireError> {
+    let event = match message {
+        PoolKind::Want(load_request) => SideEvent::Want(link, load_request),
+        PoolKind::Used(usage) => SideEvent::Used(usage),
+        PoolKind::Version(config) => {
+            context.transfer.send_event(CopyEvent::Offered(link, config.version));
             return Ok(());
         }
-        PoolKind::TextPart(part) => {
-            shared.copies.tell(CopyEvent::Part(link, part));
+        PoolKind::TextPart(chunk) => {
+            context.transfer.send_event(CopyEvent::Part(link, chunk));
             return Ok(());
         }
         PoolKind::Probe(_) => {
-            shared.links.say(link, PoolKind::Alive(Alive {}));
+            context.connections.send(link, PoolKind::Alive(Alive {}));
             return Ok(());
         }
-        PoolKind::TextAsk(ask) => {
-            let part = shared.copies.answer(link, &ask, shared.texts.borrow().as_ref());
-            shared.links.say(link, PoolKind::TextPart(part));
+        PoolKind::TextAsk(request) => {
+            let chunk =
+                context.transfer.serve_chunk(link, &request, context.config.borrow().as_ref());
+            context.connections.send(link, PoolKind::TextPart(chunk));
             return Ok(());
         }
         PoolKind::State(_) | PoolKind::Declined(_) | PoolKind::Alive(_) | PoolKind::Snapshot(_) => {
             return Err(WireError::OutOfTurn);
         }
     };
-    shared.events.send(event).map_err(|_| WireError::Closed)
+    context.events.send(event).map_err(|_| WireError::Closed)
 }
 
-/// Fetches the text from entries.
-pub(super) async fn fetch_texts(
+/// Fetches the configuration from entries.
+pub(super) async fn fetch_config(
     seed: u64,
     events: mpsc::UnboundedReceiver<CopyEvent<EntryLink>>,
-    shared: Arc<Shared>,
+    context: Arc<ConnectionContext>,
 ) {
-    let ask = |link, ask| shared.links.say(link, PoolKind::TextAsk(ask));
-    let take = |copy| {
-        shared.metrics.texts.add();
-        take_text(copy, &shared);
+    let request_chunk = |link, request| context.connections.send(link, PoolKind::TextAsk(request));
+    let apply = |encoded| {
+        context.metrics.configs.increment();
+        apply_config(encoded, &context);
     };
-    fetch_copies(CopyPatience::PeersOnly, seed, events, ask, take).await;
+    run_config_fetch(CopyPatience::PeersOnly, seed, events, request_chunk, apply).await;
 }
 
-/// Keeps a text, if it is newer.
-fn take_text(copy: TextCopy, shared: &Shared) {
-    let newer =
-        |held: &Option<TextCopy>| held.as_ref().is_none_or(|held| held.version < copy.version);
-    if !newer(&shared.texts.borrow()) {
+/// Decodes a configuration and keeps it if it is newer than the current one.
+fn apply_config(encoded: TextCopy, context: &ConnectionContext) {
+    let newer = |current: &Option<TextCopy>| {
+        current.as_ref().is_none_or(|current| current.version < encoded.version)
+    };
+    if !newer(&context.config.borrow()) {
         return;
     }
-    match shared.dialect.text(&copy.bytes) {
-        Ok(text) => {
-            shared.copies.tell(CopyEvent::Own(copy.version));
-            shared.texts.send_replace(Some(copy));
-            if shared.events.send(SideEvent::Text(Arc::new(text))).is_err() {
+    match context.dialect.text(&encoded.bytes) {
+        Ok(config) => {
+            context.transfer.send_event(CopyEvent::Own(encoded.version));
+            context.config.send_replace(Some(encoded));
+            if context.events.send(SideEvent::Text(Arc::new(config))).is_err() {
                 log::debug!("event=control_gone");
             }
         }
--- a/crates/gateway/src/side/mod.rs
+++ b/crates/gateway/src/side/mod.rs
@@ -1,4 +1,4 @@
-//! A side process: its control thread, its endpoint and its entries.
+//! The side process: its control thread, and the tasks for its endpoint and its entries.
 
 mod engine;
 mod entries;
@@ -16,81 +16,81 @@
 };
 
 use self::{
-    engine::{Engine, Task},
-    entries::{Links, Shared, accept, fetch_texts},
+    engine::{EndpointCall, EndpointClient},
+    entries::{ConnectionContext, EntryConnections, accept_entries, fetch_config},
 };
 use crate::{
-    copies::Copies,
+    copies::ConfigTransfer,
     dialect::Dialect,
     error::GatewayError,
-    logs::{LogBudget, LogStats},
-    metrics::{Counter, Show, line, log_lines, serve_metrics},
+    logs::{LogRateLimit, LogStats},
+    metrics::{Counter, Metrics, serve_metrics, write_log_counts, write_sample},
 };
 
-/// What a side counts.
+/// Metrics of a side.
 struct SideMetrics {
     orders: Counter,
     polls: Counter,
-    wants: Counter,
-    /// Whole copies of the text that came from entries.
-    texts: Counter,
+    load_requests: Counter,
+    /// Configurations that were fetched from entries.
+    configs: Counter,
     logs: Arc<LogStats>,
 }
 
-impl Show for SideMetrics {
-    fn show(&self) -> String {
+impl Metrics for SideMetrics {
+    fn render(&self) -> String {
         let mut text = String::new();
-        line(&mut text, "citronrill_orders_total", "", self.orders.value());
-        line(&mut text, "citronrill_polls_total", "", self.polls.value());
-        line(&mut text, "citronrill_wants_total", "", self.wants.value());
-        line(&mut text, "citronrill_texts_total", "", self.texts.value());
-        log_lines(&mut text, &self.logs);
+        write_sample(&mut text, "citronrill_orders_total", "", self.orders.value());
+        write_sample(&mut text, "citronrill_polls_total", "", self.polls.value());
+        write_sample(&mut text, "citronrill_wants_total", "", self.load_requests.value());
+        write_sample(&mut text, "citronrill_texts_total", "", self.configs.value());
+        write_log_counts(&mut text, &self.logs);
         text
     }
 }
 
-/// Runs a side until `stop` says so.
+/// Runs a side until `stop` receives a message.
 ///
 /// # Errors
-/// A setting is missing, or an address cannot be listened on.
+/// A required setting is missing, or an address cannot be bound.
 pub fn run_side(
     settings: &PoolSettings,
     dialect: Arc<dyn Dialect>,
     logs: Arc<LogStats>,
     stop: std::sync::mpsc::Receiver<()>,
 ) -> Result<(), GatewayError> {
-    let endpoint = settings.endpoint.ok_or(GatewayError::Missing("endpoint address"))?;
+    let endpoint = settings.endpoint.ok_or(GatewayError::MissingSetting("endpoint address"))?;
     let (events, inputs) = unbounded();
-    let (task_sender, tasks) = mpsc::unbounded_channel();
+    let (call_sender, calls) = mpsc::unbounded_channel();
     let (state_sender, states) = watch::channel(None);
     let metrics = Arc::new(SideMetrics {
         orders: Counter::default(),
         polls: Counter::default(),
-        wants: Counter::default(),
-        texts: Counter::default(),
+        load_requests: Counter::default(),
+        configs: Counter::default(),
         logs,
     });
-    let links = Arc::new(Links::default());
+    let connections = Arc::new(EntryConnections::default());
     let control = ControlThread {
         reducer: PoolSide::new(&settings.service),
         start: std::time::Instant::now(),
         inputs,
-        tasks: task_sender,
+        calls: call_sender,
         states: state_sender,
-        links: links.clone(),
+        connections: connections.clone(),
         metrics: metrics.clone(),
-        budget: LogBudget::new(),
+        log_limit: LogRateLimit::new(),
     };
     thread::Builder::new().name("control".to_owned()).spawn(move || control.run())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let (copies, copy_events) = Copies::new();
-    let shared = Arc::new(Shared {
+    let (transfer, transfer_events) = ConfigTransfer::new();
+    let context = Arc::new(ConnectionContext {
         dialect: dialect.clone(),
         events: events.clone(),
-        texts: watch::Sender::new(None),
+        config: watch::Sender::new(None),
         states,
-        links,
-        copies,
+        connections,
+        transfer,
         metrics: metrics.clone(),
     });
     let seed = hash_bytes(settings.name.as_bytes());
@@ -98,7 +98,7 @@
     let (done_sender, done) = tokio::sync::oneshot::channel();
     thread::spawn(move || {
         if stop.recv().is_ok() {
-            // The receiver is gone only if the process ends anyway.
+            // The receiver is dropped only when the process ends anyway.
             let _ = done_sender.send(());
         }
     });
@@ -108,10 +108,11 @@
             listener.map_err(|source| GatewayError::Listen { address: peers, source })?;
         log::info!("event=started role=side endpoint={endpoint} peers={peers}");
         tokio::spawn(serve_metrics(settings.metrics, metrics));
-        let engine = Engine { address: endpoint, holder: settings.name.clone(), dialect, events };
-        tokio::spawn(engine.run(tasks));
-        tokio::spawn(fetch_texts(seed, copy_events, shared.clone()));
-        tokio::spawn(accept(listener, shared));
+        let client =
+            EndpointClient { address: endpoint, holder: settings.name.clone(), dialect, events };
+        tokio::spawn(client.run(calls));
+        tokio::spawn(fetch_config(seed, transfer_events, context.clone()));
+        tokio::spawn(accept_entries(listener, context));
         if done.await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -120,16 +121,16 @@
     })
 }
 
-/// The control thread's own state.
+/// State of the control thread.
 struct ControlThread {
     reducer: PoolSide,
     start: std::time::Instant,
     inputs: Receiver<SideEvent>,
-    tasks: mpsc::UnboundedSender<Task>,
+    calls: mpsc::UnboundedSender<EndpointCall>,
     states: watch::Sender<Option<SideState>>,
-    links: Arc<Links>,
+    connections: Arc<EntryConnections>,
     metrics: Arc<SideMetrics>,
-    budget: LogBudget,
+    log_limit: LogRateLimit,
 }
 
 impl ControlThread {
@@ -142,42 +143,42 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             };
             if let SideEvent::Want(..) = event {
-                self.metrics.wants.add();
+                self.metrics.load_requests.increment();
             }
             let now = Millis(self.start.elapsed().as_millis() as u64);
             let effects = self.reducer.step(now, event);
-            effects.into_iter().for_each(|effect| self.carry_out(effect));
+            effects.into_iter().for_each(|effect| self.execute(effect));
         }
     }
 
-    fn carry_out(&mut self, effect: SideEffect) {
-        let task = match effect {
+    fn execute(&mut self, effect: SideEffect) {
+        let call = match effect {
             SideEffect::Poll => {
-                self.metrics.polls.add();
-                Task::Poll
+                self.metrics.polls.increment();
+                EndpointCall::Poll
             }
-            SideEffect::Identify(path) => Task::Identify(path),
+            SideEffect::Identify(path) => EndpointCall::QueryName(path),
             SideEffect::Order(order) => {
-                self.metrics.orders.add();
-                Task::Order(order)
+                self.metrics.orders.increment();
+                EndpointCall::Order(order)
             }
             SideEffect::Publish(state) => {
                 self.states.send_replace(Some(state));
                 return;
             }
             SideEffect::Decline(link, name) => {
-                self.links.say(link, PoolKind::Declined(name));
+                self.connections.send(link, PoolKind::Declined(name));
                 return;
             }
             SideEffect::Log(event) => {
                 let now_ms = self.start.elapsed().as_millis() as u64;
-                if self.budget.take(event.event, now_ms) {
+                if self.log_limit.allow(event.event, now_ms) {
                     log::info!("{event}");
                 }
                 return;
             }
         };
-        if self.tasks.send(task).is_err() {
+        if self.calls.send(call).is_err() {
             log::debug!("event=traffic_gone");
         }
     }
--- a/crates/gateway/src/sides.rs
+++ b/crates/gateway/src/sides.rs
@@ -1,4 +1,5 @@
-//! An entry's connections to the sides.
+//! An entry's connections to the sides: one task per side connects, reconnects and exchanges
+//! messages.
 
 use std::{
     collections::BTreeMap,
@@ -17,43 +18,45 @@
 };
 
 use crate::{
-    board::Board,
+    board::PlatformView,
     call::connect,
-    copies::Copies,
-    entry::{Events, ReadText, side_address},
+    copies::ConfigTransfer,
+    entry::{EventSender, LoadedConfig, side_address},
     error::GatewayError,
     link::split,
 };
 
-/// Milliseconds without a word after which a connection counts as lost: a side speaks every 500.
-const SILENT_MS: u64 = 1_700;
-/// Milliseconds for the answer to a probe, after which the connection is made anew: it may have gone silent by
-/// itself, which a new one shows at once.
-const PROBE_ANSWER_MS: u64 = 250;
-/// Milliseconds for a connection to a side. While its instance has no power the first packet is lost,
-/// and is sent again after a second: a new try is quicker. With 600, after a loss of power everywhere,
-/// entries reached most sides a second later than those were up.
-const CONNECT_MS: u64 = 150;
-/// Milliseconds before another try.
-const AGAIN_MS: u64 = 100;
+/// Milliseconds without a message after which a connection counts as lost: a side sends one every
+/// 500 ms.
+const SILENCE_TIMEOUT_MS: u64 = 1_700;
+/// Milliseconds for the reply to a liveness probe, after which the connection is replaced: it may be
+/// broken while the side still runs, which a new connection shows at once.
+const PROBE_TIMEOUT_MS: u64 = 250;
+/// Milliseconds to connect to a side. While its instance has no power the first packet is lost and TCP
+/// sends it again only after a second, so a new attempt is faster. With 600 ms, after a loss of power of
+/// all instances, entries reached most sides a second after those were up.
+const CONNECT_TIMEOUT_MS: u64 = 150;
+/// Milliseconds before reconnecting.
+const RECONNECT_PAUSE_MS: u64 = 100;
 
 /// Why the connection to a side was lost.
 #[derive(Debug, Error)]
-enum LinkError {
-    /// No connection was made.
+enum ConnectionError {
+    /// The connection could not be established.
     #[error(transparent)]
     Connect(#[from] GatewayError),
-    /// It broke, or the other end spoke out of turn.
+    /// The connection broke, or the side sent an unexpected message.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// Nothing came for too long, or no answer to a probe.
-    #[error("no word")]
+    /// No message, or no reply to a probe, arrived in time.
+    #[error("no message in time")]
     Silent,
 }
 
-impl LinkError {
-    /// Whether the other end said nothing at all: whoever refuses or resets a connection moves.
-    fn is_silence(&self) -> bool {
+impl ConnectionError {
+    /// Returns whether nothing came from the other end: an instance that refuses or resets a connection
+    /// still responds.
+    fn is_silent(&self) -> bool {
         let answered = |error: &io::Error| {
             matches!(
                 error.kind(),
@@ -65,65 +68,67 @@
             )
         };
         match self {
-            LinkError::Silent | LinkError::Connect(GatewayError::Timeout(_)) => true,
-            LinkError::Connect(GatewayError::Connect { source, .. }) => !answered(source),
-            LinkError::Wire(WireError::Io(error)) => !answered(error),
-            LinkError::Connect(_) | LinkError::Wire(_) => false,
+            ConnectionError::Silent | ConnectionError::Connect(GatewayError::Timeout(_)) => true,
+            ConnectionError::Connect(GatewayError::Connect { source, .. }) => !answered(source),
+            ConnectionError::Wire(WireError::Io(error)) => !answered(error),
+            ConnectionError::Connect(_) | ConnectionError::Wire(_) => false,
         }
     }
 }
 
-/// What the control thread wants of the connections.
+/// Command of the control thread to the task that manages the connections.
 #[derive(Debug)]
 pub(crate) enum SideCommand {
-    /// Keep connections to the sides beside these endpoints, and to no others.
-    Keep(Vec<SocketAddr>),
-    /// Tell the side beside this endpoint.
-    Say(SocketAddr, Box<PoolKind>),
+    /// Stay connected to the sides beside exactly these endpoints.
+    ConnectOnly(Vec<SocketAddr>),
+    /// Send a message to the side beside this endpoint.
+    Send(SocketAddr, Box<PoolKind>),
 }
 
-struct Link {
+struct ConnectionHandle {
     sender: UnboundedSender<PoolKind>,
     task: JoinHandle<()>,
 }
 
-/// Keeps the connections until the control thread ends.
+/// Manages the connections until the control thread ends.
 pub(crate) async fn run_sides(
     port: u16,
     mut commands: UnboundedReceiver<SideCommand>,
-    board: Board,
-    copies: Copies<SocketAddr>,
-    events: Events,
+    view: PlatformView,
+    transfer: ConfigTransfer<SocketAddr>,
+    events: EventSender,
 ) {
-    let mut links = BTreeMap::<SocketAddr, Link>::new();
+    let mut connections = BTreeMap::<SocketAddr, ConnectionHandle>::new();
     while let Some(command) = commands.recv().await {
         match command {
-            SideCommand::Keep(endpoints) => {
-                links.retain(|endpoint, link| {
-                    let kept = endpoints.contains(endpoint);
-                    if !kept {
-                        link.task.abort();
-                        copies.gone(*endpoint);
+            SideCommand::ConnectOnly(endpoints) => {
+                connections.retain(|endpoint, connection| {
+                    let keep = endpoints.contains(endpoint);
+                    if !keep {
+                        connection.task.abort();
+                        transfer.disconnect(*endpoint);
                     }
-                    kept
+                    keep
                 });
                 for endpoint in endpoints {
-                    links.entry(endpoint).or_insert_with(|| {
+                    connections.entry(endpoint).or_insert_with(|| {
                         let (sender, receiver) = unbounded_channel();
-                        let link = SideLink {
+                        let connection = SideConnection {
                             endpoint,
                             port,
-                            board: board.clone(),
-                            copies: copies.clone(),
+                            view: view.clone(),
+                            transfer: transfer.clone(),
                             events: events.clone(),
                         };
-                        let task = tokio::spawn(link.keep(receiver));
-                        Link { sender, task }
+                        let task = tokio::spawn(connection.run(receiver));
+                        ConnectionHandle { sender, task }
                     });
                 }
             }
-            SideCommand::Say(endpoint, kind) => {
-                let sent = links.get(&endpoint).is_some_and(|link| link.sender.send(*kind).is_ok());
+            SideCommand::Send(endpoint, message) => {
+                let sent = connections
+                    .get(&endpoint)
+                    .is_some_and(|connection| connection.sender.send(*message).is_ok());
                 if !sent {
                     log::debug!("event=side_unknown endpoint={endpoint}");
                 }
@@ -133,99 +138,99 @@
 }
 
 /// The connection to one side.
-struct SideLink {
+struct SideConnection {
     endpoint: SocketAddr,
-    /// Where sides listen, beside each endpoint.
+    /// Port on which every side listens.
     port: u16,
-    board: Board,
-    copies: Copies<SocketAddr>,
-    events: Events,
+    view: PlatformView,
+    transfer: ConfigTransfer<SocketAddr>,
+    events: EventSender,
 }
 
-impl SideLink {
-    /// Keeps the connection.
-    async fn keep(self, mut says: UnboundedReceiver<PoolKind>) {
+impl SideConnection {
+    /// Connects and reconnects until the senders of `messages` are dropped.
+    async fn run(self, mut messages: UnboundedReceiver<PoolKind>) {
         let endpoint = self.endpoint;
-        let mut known = true;
+        let mut responding = true;
         loop {
-            let error = match self.talk(&mut says, &mut known).await {
+            let error = match self.exchange_messages(&mut messages, &mut responding).await {
                 Ok(()) => return,
                 Err(error) => error,
             };
-            self.copies.gone(endpoint);
-            self.tell_lost(&error);
-            if known {
+            self.transfer.disconnect(endpoint);
+            self.report_lost(&error);
+            if responding {
                 log::info!("event=side_lost endpoint={endpoint} error=\"{error}\"");
             }
-            known = false;
-            // What was asked for meanwhile is stale by the time the side is back.
-            while says.try_recv().is_ok() {}
-            sleep(Duration::from_millis(AGAIN_MS)).await;
+            responding = false;
+            // Messages queued meanwhile are stale by the time the side is reachable again.
+            while messages.try_recv().is_ok() {}
+            sleep(Duration::from_millis(RECONNECT_PAUSE_MS)).await;
         }
     }
 
-    /// Tells the control thread how the connection was lost.
-    fn tell_lost(&self, error: &LinkError) {
-        let loss = if error.is_silence() { SideLoss::Silent } else { SideLoss::Closed };
+    /// Reports to the control thread how the connection was lost.
+    fn report_lost(&self, error: &ConnectionError) {
+        let loss = if error.is_silent() { SideLoss::Silent } else { SideLoss::Closed };
         self.events.send(EntryEvent::SideLost(self.endpoint, loss));
     }
 
-    async fn talk(
+    async fn exchange_messages(
         &self,
-        says: &mut UnboundedReceiver<PoolKind>,
-        known: &mut bool,
-    ) -> Result<(), LinkError> {
+        messages: &mut UnboundedReceiver<PoolKind>,
+        responding: &mut bool,
+    ) -> Result<(), ConnectionError> {
         let endpoint = self.endpoint;
-        let stream = connect(side_address(endpoint, self.port), CONNECT_MS).await?;
+        let stream = connect(side_address(endpoint, self.port), CONNECT_TIMEOUT_MS).await?;
         let (mut receiver, mut sender) = split(stream);
-        let mut texts = self.board.follow();
-        texts.mark_changed();
-        let mut due = Instant::now() + Duration::from_millis(SILENT_MS);
+        let mut config = self.view.subscribe_config();
+        config.mark_changed();
+        let mut deadline = Instant::now() + Duration::from_millis(SILENCE_TIMEOUT_MS);
         loop {
             tokio::select! {
-                // What has come already is read before anything is held to be late.
+                // Messages that have already arrived are read before the timeout is checked.
                 biased;
                 kind = receiver.next() => {
                     let kind = kind?;
-                    due = Instant::now() + Duration::from_millis(SILENT_MS);
-                    if !*known {
-                        *known = true;
+                    deadline = Instant::now() + Duration::from_millis(SILENCE_TIMEOUT_MS);
+                    if !*responding {
+                        *responding = true;
                         log::info!("event=side_regained endpoint={endpoint}");
                     }
-                    if let Some(reply) = self.take(kind)? {
+                    if let Some(reply) = self.handle_message(kind)? {
                         sender.send(reply).await?;
                     }
                 }
-                said = says.recv() => match said {
+                message = messages.recv() => match message {
                     Some(kind) => {
                         if matches!(kind, PoolKind::Probe(_)) {
-                            due = due.min(Instant::now() + Duration::from_millis(PROBE_ANSWER_MS));
+                            deadline = deadline.min(Instant::now() + Duration::from_millis(PROBE_TIMEOUT_MS));
                         }
                         sender.send(kind).await?;
                     }
                     None => return Ok(()),
                 },
-                changed = texts.changed() => {
+                changed = config.changed() => {
                     changed.map_err(|_| WireError::Closed)?;
-                    let version = version_of(&texts.borrow_and_update());
+                    let version = config_version(&config.borrow_and_update());
                     sender.send(PoolKind::Version(TextVersion { version })).await?;
                 }
-                () = sleep_until(due) => return Err(LinkError::Silent),
+                () = sleep_until(deadline) => return Err(ConnectionError::Silent),
             }
         }
     }
 
-    /// Takes what the side says; gives what it is answered.
-    fn take(&self, kind: PoolKind) -> Result<Option<PoolKind>, WireError> {
+    /// Handles a message of the side; returns the reply to it, if any.
+    fn handle_message(&self, kind: PoolKind) -> Result<Option<PoolKind>, WireError> {
         let endpoint = self.endpoint;
         match kind {
             PoolKind::State(state) => {
-                self.copies.tell(CopyEvent::Offered(endpoint, state.text));
+                self.transfer.send_event(CopyEvent::Offered(endpoint, state.text));
                 self.events.send(EntryEvent::Side(endpoint, state));
             }
-            PoolKind::TextPart(part) => self.copies.tell(CopyEvent::Part(endpoint, part)),
-            PoolKind::TextAsk(ask) => {
-                return Ok(Some(PoolKind::TextPart(self.board.answer(endpoint, &ask))));
+            PoolKind::TextPart(chunk) => self.transfer.send_event(CopyEvent::Part(endpoint, chunk)),
+            PoolKind::TextAsk(request) => {
+                return Ok(Some(PoolKind::TextPart(self.view.config_chunk(endpoint, &request))));
             }
             PoolKind::Declined(name) => self.events.send(EntryEvent::Declined(endpoint, name)),
             PoolKind::Alive(_) => self.events.send(EntryEvent::Alive(endpoint)),
@@ -239,6 +244,6 @@
     }
 }
 
-fn version_of(held: &Option<ReadText>) -> u64 {
-    held.as_ref().map_or(0, |read| read.copy.version)
+fn config_version(config: &Option<LoadedConfig>) -> u64 {
+    config.as_ref().map_or(0, |loaded| loaded.encoded.version)
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's store: a whole table first, its changes after.
+//! Reads the platform store: each table in full first, then its changes by long polling.
 
 use std::{
     net::SocketAddr,
@@ -14,95 +14,96 @@
 use tokio::time::sleep;
 
 use crate::{
-    board::Board,
-    call::{Control, get},
+    board::PlatformView,
+    call::{ControlClient, get},
     dialect::{Dialect, RowPage, Table},
     error::GatewayError,
 };
 
-/// Milliseconds between two calls for the list: some endpoint writes several times a second, and a
-/// call that is held would return at once each time. A leaving endpoint is to be left alone within two
-/// seconds; this and the store's answer are half of that.
-const LIST_PAUSE_MS: u64 = 900;
-/// Failed calls of one outage that are logged at most.
-const LOGGED_TRIES: u32 = 16;
+/// Milliseconds between two polls of the member list. Some endpoint writes several times a second, so a
+/// long poll would return at once each time. A leaving endpoint must stop receiving requests within two
+/// seconds; this pause and the store's response take half of that.
+const MEMBERS_PAUSE_MS: u64 = 900;
+/// Maximum number of failed calls that are logged per outage.
+const MAX_LOGGED_FAILURES: u32 = 16;
 
 fn millis_since(moment: Instant) -> u64 {
     moment.elapsed().as_millis() as u64
 }
 
-/// How this process follows a table.
-fn profile(settings: &PoolSettings, table: Table) -> FollowProfile {
+/// Returns the settings for following `table`.
+fn follower_profile(settings: &PoolSettings, table: Table) -> FollowProfile {
     let pace_ms = match table {
         Table::Text => 0,
-        Table::Members => LIST_PAUSE_MS,
+        Table::Members => MEMBERS_PAUSE_MS,
     };
     let seed = hash_bytes(format!("{} {table:?}", settings.name).as_bytes());
     FollowProfile { seed, recover_ms: settings.recover_ms, pace_ms }
 }
 
-/// Follows one table for good: says what has changed to `board`.
+/// Follows one table until the process ends and passes its rows to `view`.
 pub(crate) fn watch_table(
     settings: &PoolSettings,
     table: Table,
     dialect: Arc<dyn Dialect>,
-    board: Board,
+    view: PlatformView,
 ) -> impl Future<Output = ()> + use<> {
     let store = settings.store;
-    let (control, follow) = (Control::new(store), Follow::new(profile(settings, table)));
-    let watch = Watch { store, table, dialect, board, control, follow };
-    watch.keep()
+    let (client, follower) =
+        (ControlClient::new(store), Follow::new(follower_profile(settings, table)));
+    let watcher = TableWatcher { store, table, dialect, view, client, follower };
+    watcher.run()
 }
 
-/// Calls for one table that failed in a row.
+/// An outage: consecutive failed calls for one table.
 struct Outage {
-    /// When the first of them failed.
+    /// When the first call failed.
     since: Instant,
-    tries: u32,
+    failures: u32,
 }
 
-fn note_lost(table: Table, outage: &Outage, error: &GatewayError, waited_ms: u64) {
-    let tries = outage.tries;
-    if tries <= LOGGED_TRIES {
+fn log_lost(table: Table, outage: &Outage, error: &GatewayError, waited_ms: u64) {
+    let failures = outage.failures;
+    if failures <= MAX_LOGGED_FAILURES {
         log::warn!(
-            "event=store_lost table={table:?} error=\"{error}\" waited_ms={waited_ms} try={tries}"
+            "event=store_lost table={table:?} error=\"{error}\" waited_ms={waited_ms} try={failures}"
         );
     }
 }
 
-fn note_regained(table: Table, outage: &Outage, asked: Instant) {
-    let (away_ms, tries) = (millis_since(outage.since), outage.tries);
-    let answered_ms = millis_since(asked);
+fn log_regained(table: Table, outage: &Outage, sent_at: Instant) {
+    let (away_ms, failures) = (millis_since(outage.since), outage.failures);
+    let answered_ms = millis_since(sent_at);
     log::info!(
-        "event=store_regained table={table:?} away_ms={away_ms} tries={tries} answered_ms={answered_ms}"
+        "event=store_regained table={table:?} away_ms={away_ms} tries={failures} answered_ms={answered_ms}"
     );
 }
 
-struct Watch {
+struct TableWatcher {
     store: SocketAddr,
     table: Table,
     dialect: Arc<dyn Dialect>,
-    board: Board,
-    control: Control,
-    follow: Follow,
+    view: PlatformView,
+    client: ControlClient,
+    follower: Follow,
 }
 
-impl Watch {
-    async fn keep(mut self) {
+impl TableWatcher {
+    async fn run(mut self) {
         let mut outage = None;
-        let mut told = false;
+        let mut reported = false;
         loop {
-            let asked = Instant::now();
-            let pause_ms = match self.turn().await {
+            let sent_at = Instant::now();
+            let pause_ms = match self.poll().await {
                 Ok(pause_ms) => {
                     if let Some(outage) = outage.take() {
-                        note_regained(self.table, &outage, asked);
-                        self.board.mark_regained();
+                        log_regained(self.table, &outage, sent_at);
+                        self.view.notify_regained();
                     }
                     pause_ms
                 }
-                Err(GatewayError::Overtaken) => {
-                    let waited_ms = millis_since(asked);
+                Err(GatewayError::Superseded) => {
+                    let waited_ms = millis_since(sent_at);
                     log::info!(
                         "event=store_overtaken table={:?} waited_ms={waited_ms}",
                         self.table
@@ -110,103 +111,104 @@
                     0
                 }
                 Err(error) => {
-                    let waited_ms = millis_since(asked);
-                    let known = outage.get_or_insert(Outage { since: Instant::now(), tries: 0 });
-                    known.tries += 1;
-                    note_lost(self.table, known, &error, waited_ms);
-                    self.follow.failed(waited_ms)
+                    let waited_ms = millis_since(sent_at);
+                    let current =
+                        outage.get_or_insert(Outage { since: Instant::now(), failures: 0 });
+                    current.failures += 1;
+                    log_lost(self.table, current, &error, waited_ms);
+                    self.follower.failed(waited_ms)
                 }
             };
-            self.tell_current(&mut told);
+            self.report_current(&mut reported);
             sleep(Duration::from_millis(pause_ms)).await;
         }
     }
 
-    /// Says whether the text is known to be the newest, where that has changed.
-    fn tell_current(&self, told: &mut bool) {
-        let current = self.follow.current();
-        if self.table == Table::Text && current != *told {
-            *told = current;
-            self.board.tell_current(current);
+    /// Reports whether the configuration is known to be the newest, if that has changed.
+    fn report_current(&self, reported: &mut bool) {
+        let current = self.follower.current();
+        if self.table == Table::Text && current != *reported {
+            *reported = current;
+            self.view.set_config_current(current);
         }
     }
 
-    /// Makes the next call; gives the milliseconds until the one after it.
-    async fn turn(&mut self) -> Result<u64, GatewayError> {
-        let call = self.follow.call();
+    /// Makes the next call; returns the milliseconds to wait before the one after it.
+    async fn poll(&mut self) -> Result<u64, GatewayError> {
+        let call = self.follower.call();
         match call.ask {
-            StoreAsk::Whole => self.read(call.limit_ms).await,
+            StoreAsk::Whole => self.read_table(call.limit_ms).await,
             StoreAsk::Changes { after, hold_ms } => {
-                self.changes(after, hold_ms, call.limit_ms).await
+                self.read_changes(after, hold_ms, call.limit_ms).await
             }
         }
     }
 
-    async fn read(&mut self, limit_ms: u64) -> Result<u64, GatewayError> {
-        let asked = Instant::now();
+    async fn read_table(&mut self, timeout_ms: u64) -> Result<u64, GatewayError> {
+        let sent_at = Instant::now();
         let mut from = None;
-        let mut all = RowPage::default();
+        let mut table = RowPage::default();
         loop {
             let path = self.dialect.read_path(self.table, from.as_deref());
-            let (status, body) = self.call(&path, limit_ms).await?;
+            let (status, body) = self.call(&path, timeout_ms).await?;
             if status != StatusCode::OK {
                 return Err(GatewayError::Status(status.as_u16()));
             }
             let page = self.dialect.rows(&body)?;
-            // The oldest page decides: what changed after it comes with the changes.
-            let first = all.version == 0;
-            all.version = if first { page.version } else { all.version.min(page.version) };
+            // The lowest version counts: whatever changed after it is read with the changes.
+            let first = table.version == 0;
+            table.version = if first { page.version } else { table.version.min(page.version) };
             from = page.rows.last().map(|row| format!("{}\0", row.key));
-            all.rows.extend(page.rows);
+            table.rows.extend(page.rows);
             if !page.truncated {
                 break;
             }
         }
-        let pause_ms = self.follow.answered(all.version, millis_since(asked));
-        self.board.take(self.table, all, true);
+        let pause_ms = self.follower.answered(table.version, millis_since(sent_at));
+        self.view.apply_rows(self.table, table, true);
         Ok(pause_ms)
     }
 
-    async fn changes(
+    async fn read_changes(
         &mut self,
         after: u64,
         hold_ms: u64,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<u64, GatewayError> {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let path = self.dialect.watch_path(self.table, after, hold_ms);
-        let (status, body) = self.call(&path, limit_ms).await?;
+        let (status, body) = self.call(&path, timeout_ms).await?;
         if status == StatusCode::GONE {
-            // The history is gone: what changed meanwhile can only be seen in the whole.
+            // The store no longer has these changes, so the next call reads the whole table.
             log::info!("event=history_gone table={:?} version={after}", self.table);
-            return Ok(self.follow.history_gone());
+            return Ok(self.follower.history_gone());
         }
         if status != StatusCode::OK {
             return Err(GatewayError::Status(status.as_u16()));
         }
         let page = self.dialect.rows(&body)?;
-        let pause_ms = self.follow.answered(page.version, millis_since(asked));
+        let pause_ms = self.follower.answered(page.version, millis_since(sent_at));
         if !page.rows.is_empty() {
-            self.board.take(self.table, page, false);
+            self.view.apply_rows(self.table, page, false);
         }
         Ok(pause_ms)
     }
 
-    /// Makes a call; the head of its answer has to come within `head_ms`.
+    /// Makes a call whose response head must arrive within `head_timeout_ms`.
     async fn call(
         &mut self,
         path: &str,
-        head_ms: u64,
+        head_timeout_ms: u64,
     ) -> Result<(StatusCode, Bytes), GatewayError> {
-        let is_text = self.table == Table::Text;
+        let is_config = self.table == Table::Text;
         let progress = || {
-            if is_text {
-                self.board.text_arrives();
+            if is_config {
+                self.view.report_store_progress();
             }
         };
-        let overtaken = self.board.regained();
+        let regained = self.view.wait_regained();
         let request = get(self.store, path)?;
-        let response = self.control.fetch(request, head_ms, overtaken, progress).await?;
+        let response = self.client.fetch(request, head_timeout_ms, regained, progress).await?;
         Ok((response.status(), response.into_body()))
     }
 }
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams of events that are made of several runs.
+//! Event streams that several attempts produce.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
@@ -8,55 +8,56 @@
 use bytes::Bytes;
 use proptest::{prelude::*, test_runner::RngSeed};
 
-use self::events::EventCutter;
+use self::events::EventSplitter;
 
 fn event(number: u64) -> String {
     format!("id: {number}\ndata: token {number}\n\n")
 }
 
-/// Events `from..to` as one run makes them.
-fn made(from: u64, to: u64) -> Vec<u8> {
+/// Events `from..to` as one attempt produces them.
+fn produced(from: u64, to: u64) -> Vec<u8> {
     (from..to).map(event).collect::<String>().into_bytes()
 }
 
-/// Whole events pass at once, as they came.
+/// Whole events are forwarded at once and unchanged.
 #[test]
-fn whole_events_pass_as_they_are() {
-    let mut cutter = EventCutter::default();
-    let bytes = Bytes::from(made(0, 2));
-    assert_eq!(cutter.take(bytes.clone()), bytes);
-    assert_eq!(cutter.last(), Some(1));
+fn whole_events_are_forwarded_unchanged() {
+    let mut splitter = EventSplitter::default();
+    let bytes = Bytes::from(produced(0, 2));
+    assert_eq!(splitter.push(bytes.clone()), bytes);
+    assert_eq!(splitter.last_id(), Some(1));
 }
 
-/// An endpoint breaks off in the middle of an event, and its next run makes the event again. The caller
-/// had the half of it before the whole, and could read neither.
+/// An endpoint breaks off in the middle of an event and the next attempt produces that event again. The
+/// caller must not receive the first half, which would corrupt the event.
 #[test]
-fn half_an_event_is_not_passed_on() {
-    let mut cutter = EventCutter::default();
-    let mut bytes = made(0, 2);
+fn partial_event_is_not_forwarded() {
+    let mut splitter = EventSplitter::default();
+    let mut bytes = produced(0, 2);
     bytes.extend_from_slice(b"id: 2\ndata: tok");
-    assert_eq!(cutter.take(Bytes::from(bytes)), made(0, 2));
-    cutter.next_run();
-    assert_eq!(cutter.last(), Some(1));
-    assert_eq!(cutter.take(Bytes::from(made(2, 4))), made(2, 4));
+    assert_eq!(splitter.push(Bytes::from(bytes)), produced(0, 2));
+    splitter.start_attempt();
+    assert_eq!(splitter.last_id(), Some(1));
+    assert_eq!(splitter.push(Bytes::from(produced(2, 4))), produced(2, 4));
 }
 
-/// The run that goes on begins with events that the caller has had: they are passed over.
+/// The attempt that resumes the stream begins with events that the caller has already received; they
+/// are dropped.
 #[test]
-fn no_event_comes_twice() {
-    let mut cutter = EventCutter::default();
-    cutter.take(Bytes::from(made(0, 5)));
-    cutter.next_run();
-    assert_eq!(cutter.take(Bytes::from(made(3, 8))), made(5, 8));
+fn repeated_events_are_dropped() {
+    let mut splitter = EventSplitter::default();
+    splitter.push(Bytes::from(produced(0, 5)));
+    splitter.start_attempt();
+    assert_eq!(splitter.push(Bytes::from(produced(3, 8))), produced(5, 8));
 }
 
-/// What follows the last event of a run that ended whole is its answer's, too.
+/// The bytes after the last event of an attempt that ended normally belong to the response.
 #[test]
-fn the_last_bytes_are_not_lost() {
-    let mut cutter = EventCutter::default();
-    assert!(cutter.take(Bytes::from_static(b"data: [DONE]\n")).is_empty());
-    assert_eq!(cutter.end(), Bytes::from_static(b"data: [DONE]\n"));
-    assert!(cutter.end().is_empty());
+fn trailing_bytes_are_forwarded() {
+    let mut splitter = EventSplitter::default();
+    assert!(splitter.push(Bytes::from_static(b"data: [DONE]\n")).is_empty());
+    assert_eq!(splitter.finish(), Bytes::from_static(b"data: [DONE]\n"));
+    assert!(splitter.finish().is_empty());
 }
 
 proptest! {
@@ -66,24 +67,24 @@
         ..ProptestConfig::with_cases(500)
     })]
 
-    /// Runs that break off anywhere, in pieces of any size, give each event once and in order.
+    /// Attempts that break off anywhere, in chunks of any size, yield each event once and in order.
     #[test]
-    fn any_cuts_give_each_event_once(
-        cuts in prop::collection::vec((0_usize..400, 1_usize..40), 0..6),
+    fn any_breaks_yield_each_event_once(
+        breaks in prop::collection::vec((0_usize..400, 1_usize..40), 0..6),
     ) {
-        let mut cutter = EventCutter::default();
-        let mut passed = Vec::new();
+        let mut splitter = EventSplitter::default();
+        let mut forwarded = Vec::new();
         let mut next = 0;
-        for (length, piece) in cuts {
-            let run = made(next, 20);
-            for bytes in run[..length.min(run.len())].chunks(piece) {
-                passed.extend_from_slice(&cutter.take(Bytes::copy_from_slice(bytes)));
+        for (length, chunk) in breaks {
+            let attempt = produced(next, 20);
+            for bytes in attempt[..length.min(attempt.len())].chunks(chunk) {
+                forwarded.extend_from_slice(&splitter.push(Bytes::copy_from_slice(bytes)));
             }
-            cutter.next_run();
-            // A run may begin with the event that came last.
-            next = cutter.last().unwrap_or(0);
+            splitter.start_attempt();
+            // An attempt may begin with the last event of the previous one.
+            next = splitter.last_id().unwrap_or(0);
         }
-        passed.extend_from_slice(&cutter.take(Bytes::from(made(next, 20))));
-        prop_assert_eq!(passed, made(0, 20));
+        forwarded.extend_from_slice(&splitter.push(Bytes::from(produced(next, 20))));
+        prop_assert_eq!(forwarded, produced(0, 20));
     }
 }
--- a/crates/gateway/tests/logs.rs
+++ b/crates/gateway/tests/logs.rs
@@ -1,4 +1,4 @@
-//! The log never blocks.
+//! Logging doesn't block.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
@@ -7,18 +7,18 @@
     sync::{Arc, Mutex, mpsc},
 };
 
-use citronrill_gateway::{LogBudget, LogPipe};
+use citronrill_gateway::{LogPipe, LogRateLimit};
 
-/// A reader that has stopped until it is told to go on.
-struct Stopped {
-    go: mpsc::Receiver<()>,
+/// A reader that reads nothing until it receives a message.
+struct StalledReader {
+    resume: mpsc::Receiver<()>,
     read: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stopped {
+impl Write for StalledReader {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // An error means that the test is over.
-        let _ = self.go.recv();
+        // An error means that the test has ended.
+        let _ = self.resume.recv();
         self.read.lock().unwrap().extend(bytes);
         Ok(bytes.len())
     }
@@ -28,45 +28,45 @@
     }
 }
 
-/// Whoever reads standard output stops, and the pipe is full. Threads that log go on at once; what
-/// did not fit is counted, and said when the reader goes on.
+/// The reader of standard output stops and the pipe is full. Threads that log must not block; lines that
+/// do not fit are counted, and the count is logged when the reader continues.
 #[test]
-fn a_stopped_reader_blocks_nobody() {
-    let (go, stopped) = mpsc::channel();
+fn stalled_reader_does_not_block() {
+    let (resume, receiver) = mpsc::channel();
     let read = Arc::new(Mutex::new(Vec::new()));
-    let mut pipe = LogPipe::new(Stopped { go: stopped, read: read.clone() });
+    let mut pipe = LogPipe::new(StalledReader { resume: receiver, read: read.clone() });
     let stats = pipe.handle().stats;
     for _ in 0..20_000 {
         pipe.write_all(b"event=x\n").unwrap();
     }
     assert!(stats.lost() > 10_000, "{} lost", stats.lost());
     assert_eq!(stats.lost() + stats.written(), 20_000);
-    drop(go);
+    drop(resume);
     while !String::from_utf8_lossy(&read.lock().unwrap()).contains("event=log_lost") {
         std::thread::yield_now();
     }
 }
 
-/// Every request fails at once and one kind of line floods the log. The line that says why, of another
-/// kind, still gets through, and the flood may go on in the next second.
+/// Every request fails at once and one kind of line floods the log. The line of another kind that
+/// explains the failure is still written, and the first kind is written again in the next second.
 #[test]
-fn a_flood_of_one_kind_leaves_room_for_others() {
-    let mut budget = LogBudget::new();
-    let written = (0..5_000).filter(|_| budget.take("failed", 10)).count();
+fn flood_of_one_kind_does_not_limit_others() {
+    let mut limit = LogRateLimit::new();
+    let written = (0..5_000).filter(|_| limit.allow("failed", 10)).count();
     assert_eq!(written, 400);
-    assert!(budget.take("side_lost", 11));
-    assert!(!budget.take("failed", 900));
-    assert!(budget.take("failed", 1_010));
+    assert!(limit.allow("side_lost", 11));
+    assert!(!limit.allow("failed", 900));
+    assert!(limit.allow("failed", 1_010));
 }
 
-/// A process ends right after its last line. The line is written before, however slow the reader.
+/// A process exits right after its last line, which must be written before, even if the reader is slow.
 #[test]
-fn the_last_line_is_written_before_the_end() {
-    let (go, stopped) = mpsc::channel();
+fn drain_writes_the_last_line() {
+    let (resume, receiver) = mpsc::channel();
     let read = Arc::new(Mutex::new(Vec::new()));
-    let mut pipe = LogPipe::new(Stopped { go: stopped, read: read.clone() });
+    let mut pipe = LogPipe::new(StalledReader { resume: receiver, read: read.clone() });
     pipe.write_all(b"event=stopped\n").unwrap();
-    let slow = std::thread::spawn(move || go.send(()));
+    let slow = std::thread::spawn(move || resume.send(()));
     pipe.handle().drain();
     assert_eq!(read.lock().unwrap().as_slice(), b"event=stopped\n");
     slow.join().unwrap().unwrap();
