--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,8 @@
-//! Answers over `tiny_http` that are flushed part by part.
+//! HTTP responses over `tiny_http` that are flushed after each part.
 //!
-//! This crate exists because `tiny_http` gathers an answer that it reads itself into chunks of
-//! 8 KiB, so that streamed tokens would arrive all at once. Written through its raw writer with a
-//! flush for each part, they arrive one by one.
+//! `tiny_http` collects a response that it reads itself into chunks of 8 KiB, so that streamed
+//! tokens would arrive in bursts. This crate uses the raw writer instead and flushes it after each
+//! part, so that tokens arrive one by one.
 
 use std::{
     io::{self, Write},
@@ -13,12 +13,13 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tiny_http::{HTTPVersion, Request, StatusCode};
 
-/// A caller that sends nothing for this long in the middle of a request is cut off.
+/// A caller that sends nothing for this long in the middle of a request is disconnected.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// A caller that takes nothing for this long is cut off.
+/// A caller that accepts no data for this long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 const BACKLOG: i32 = 1_024;
-/// Headers between two hops, and those that the writer sets itself.
+/// Hop-by-hop headers, and headers that the writer or the HTTP client sets itself. They are not
+/// forwarded.
 const HOP_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -33,32 +34,32 @@
     "expect",
 ];
 
-/// One header.
+/// A header of a request or response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its value.
+    /// The value.
     pub value: String,
 }
 
 impl Header {
-    /// A header.
+    /// Creates a header.
     pub fn new(name: &str, value: &str) -> Header {
         Header { name: name.to_owned(), value: value.to_owned() }
     }
 }
 
-/// Whether a header is passed from hop to hop.
-pub fn passes(name: &str) -> bool {
+/// Returns whether a header is forwarded.
+pub fn is_forwarded(name: &str) -> bool {
     !HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop))
 }
 
-/// Listens for callers. The timeouts are inherited by every accepted connection, so that half a
-/// request does not hold a thread for ever.
+/// Opens a listener for callers. Accepted connections inherit its timeouts, so that an incomplete
+/// request does not block a thread forever.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// The process cannot listen on the address.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -70,17 +71,17 @@
     Ok(socket.into())
 }
 
-/// Writes one answer. Each part is flushed, so that a token is not held back for the next.
+/// Writes a response. Each part is flushed, so that a token is not delayed until the next one.
 pub struct Answer {
     out: Box<dyn Write + Send>,
     chunked: bool,
 }
 
 impl Answer {
-    /// Begins an answer whose length is not known.
+    /// Begins a response of unknown length.
     ///
     /// # Errors
-    /// The caller went away.
+    /// The caller has disconnected.
     pub fn begin(request: Request, status: u16, headers: &[Header]) -> io::Result<Answer> {
         let chunked = *request.http_version() >= HTTPVersion(1, 1);
         let mut head = head(status, headers);
@@ -94,10 +95,10 @@
         Ok(Answer { out, chunked })
     }
 
-    /// Writes a part.
+    /// Writes and flushes a part of the body.
     ///
     /// # Errors
-    /// The caller went away or does not take it in time.
+    /// The caller has disconnected or does not accept the data in time.
     pub fn part(&mut self, data: &[u8]) -> io::Result<()> {
         if data.is_empty() {
             return Ok(());
@@ -113,10 +114,10 @@
         self.out.flush()
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete response.
     ///
     /// # Errors
-    /// The caller went away.
+    /// The caller has disconnected.
     pub fn end(mut self) -> io::Result<()> {
         if self.chunked {
             self.out.write_all(b"0\r\n\r\n")?;
@@ -124,10 +125,10 @@
         self.out.flush()
     }
 
-    /// Ends a cut answer, so that no caller can take it for a whole one.
+    /// Aborts a response, so that no caller can take it for a complete one.
     ///
-    /// The server library keeps the connection, so the end of the connection cannot be the sign. A
-    /// chunk size that is no number makes HTTP libraries report a broken body.
+    /// The server library keeps the connection open, so closing it cannot be the signal. An invalid
+    /// chunk size makes HTTP libraries report a malformed body.
     pub fn cut(mut self) {
         if self.chunked {
             let _ = self.out.write_all(b"cut\r\n");
@@ -136,10 +137,10 @@
     }
 }
 
-/// Writes a whole answer at once.
+/// Writes a complete response at once.
 ///
 /// # Errors
-/// The caller went away or does not take it in time.
+/// The caller has disconnected or does not accept the data in time.
 pub fn respond(request: Request, status: u16, headers: &[Header], body: &[u8]) -> io::Result<()> {
     let mut bytes = head(status, headers).into_bytes();
     write!(bytes, "Content-Length: {}\r\n\r\n", body.len())?;
@@ -152,7 +153,7 @@
 fn head(status: u16, headers: &[Header]) -> String {
     let reason = StatusCode(status).default_reason_phrase();
     let mut text = format!("HTTP/1.1 {status} {reason}\r\n");
-    for header in headers.iter().filter(|header| passes(&header.name)) {
+    for header in headers.iter().filter(|header| is_forwarded(&header.name)) {
         text.push_str(&format!("{}: {}\r\n", header.name, header.value));
     }
     text
--- a/crates/runtime/src/apply.rs
+++ b/crates/runtime/src/apply.rs
@@ -1,4 +1,4 @@
-//! Offering a text, and reading the one in force, for the operators' client.
+//! Submits a configuration and reads the active one, for the operators' client.
 
 use citronrill_base::{Outcome, Row, Txn};
 use citronrill_config::{Catalogue, ConfigErrors, Delta, Registry, digest};
@@ -7,77 +7,79 @@
 use prost::Message;
 use thiserror::Error;
 
-/// A change larger than this is not carried by its delta; every process fetches the text.
+/// Maximum size of a delta row, in bytes. For a larger change the row has no content, and every
+/// process fetches the whole configuration.
 const DELTA_LIMIT: usize = 32 << 10;
-/// The comment in the first line of a shown text, before its version.
-const VERSION_MARK: &str = "; version ";
-/// Times the table is asked what became of an offer whose confirmation was lost.
-const READ_BACKS: usize = 5;
+/// Start of the comment that gives the version, in the first line of a printed configuration.
+const VERSION_PREFIX: &str = "; version ";
+/// Maximum number of retries of a commit whose outcome is unknown.
+const COMMIT_RETRIES: usize = 5;
 
-/// What became of an offer.
+/// The outcome of a submitted configuration that is not an error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
-    /// It is the version in force.
+    /// It is the active version.
     Accepted {
-        /// Its version.
+        /// The new version.
         version: u64,
     },
-    /// It says the same as the text in force.
+    /// It is identical to the active configuration.
     Unchanged {
-        /// The version in force.
+        /// The active version.
         version: u64,
     },
 }
 
-/// Why an offer was not accepted. Except for [`ApplyError::Unknown`], nothing has changed.
+/// The reason why a configuration was not accepted. Nothing has changed, except possibly for
+/// [`ApplyError::Unknown`].
 #[derive(Debug, Error)]
 pub enum ApplyError {
-    /// The text has errors.
+    /// The configuration has errors.
     #[error("{0}")]
     Text(#[from] ConfigErrors),
-    /// The text does not say which version it was made from.
+    /// The configuration does not state its base version.
     #[error(
-        "the text names no base: its first line must be `; version N`, as `show` prints it, or give --base N; in force is {current}"
+        "the configuration names no base version: its first line must be `; version N`, as `show` prints it, or give --base N; version {current} is active"
     )]
     NoBase {
-        /// The version in force.
+        /// The active version.
         current: u64,
     },
-    /// Another offer was faster.
+    /// Another configuration was accepted first.
     #[error(
-        "the text was made from version {base}, but version {winner} is in force; nothing was changed"
+        "the configuration is based on version {base}, but version {winner} is active; nothing was changed"
     )]
     Lost {
-        /// The version that the text was made from.
+        /// The base version of the configuration.
         base: u64,
-        /// The version in force.
+        /// The active version.
         winner: u64,
     },
-    /// The platform does not answer.
-    #[error("the platform does not answer, nothing was changed: {0}")]
+    /// The platform store does not answer.
+    #[error("the platform store does not answer; nothing was changed: {0}")]
     Platform(#[from] PlatformError),
-    /// The platform did not confirm the offer, and does not say what became of it.
-    #[error("the platform did not confirm the offer; see `citronrill show` once it answers")]
+    /// The platform store did not confirm the commit, and its outcome cannot be determined.
+    #[error("the platform store did not confirm the commit; run `citronrill show` once it answers")]
     Unknown,
-    /// The object that the head names is missing.
-    #[error("the text of version {0} is not in the object store")]
+    /// The object named in the head row is missing.
+    #[error("the configuration of version {0} is not in the object store")]
     Missing(u64),
 }
 
-/// The version in force; version 0 if there is none.
+/// Reads the head row and its row version. The head has version 0 if there is no configuration.
 ///
 /// # Errors
-/// The table does not answer.
+/// The platform table does not answer.
 pub fn head(table: &dyn Table) -> Result<(HeadRow, u64), PlatformError> {
     let rows = table.read(&[HEAD.to_owned()])?;
     let row = rows.into_iter().next().unwrap_or_default();
     Ok((decode(&row.body).unwrap_or_default(), row.version))
 }
 
-/// The text in force and its version.
+/// Reads the active configuration and its head row.
 ///
 /// # Errors
-/// The platform does not answer, or has lost the text.
+/// The platform store does not answer, or has lost the configuration.
 pub fn current_text(
     table: &dyn Table,
     objects: &dyn Objects,
@@ -87,39 +89,41 @@
         return Ok((head, String::new()));
     }
     let body = objects.get(&head.object)?.ok_or(ApplyError::Missing(head.version))?;
-    let text = String::from_utf8(body).map_err(|_| ApplyError::Missing(head.version))?;
-    Ok((head, text))
+    let config = String::from_utf8(body).map_err(|_| ApplyError::Missing(head.version))?;
+    Ok((head, config))
 }
 
-/// The version that a text says it was made from, in its first line.
-pub fn base_version(text: &str) -> Option<u64> {
-    let mark = text.lines().next()?.strip_prefix(VERSION_MARK)?;
-    mark.trim().parse().ok()
+/// Returns the base version that a configuration states in its first line.
+pub fn base_version(config: &str) -> Option<u64> {
+    let base = config.lines().next()?.strip_prefix(VERSION_PREFIX)?;
+    base.trim().parse().ok()
 }
 
-/// Offers `text` as the version after `base`.
+/// Submits the configuration `config` as the version after `base`.
 ///
-/// The object is written first, under a name that holds the text's digest, so that neither a racing
-/// offer nor a repeat can put another text under it. One transaction then moves the head and writes
-/// the delta, if the head is still the one that was read.
+/// The object is written first. Its name contains the digest of the configuration, so that neither
+/// a concurrent submission nor a repeated one can store other content under that name. One
+/// transaction then replaces the head row and writes the delta, if the head row is still the one
+/// that was read.
 ///
 /// # Errors
-/// The text is wrong, another offer was faster, or the platform does not answer.
+/// The configuration is invalid, another one was accepted first, or the platform store does not
+/// answer.
 pub fn apply_text(
     table: &dyn Table,
     objects: &dyn Objects,
     file: &str,
-    text: &str,
+    config: &str,
     base: Option<u64>,
 ) -> Result<Applied, ApplyError> {
-    Catalogue::compile(file, text, 0, &mut Registry::default())?;
+    Catalogue::compile(file, config, 0, &mut Registry::default())?;
     let (head_row, head_version) = head(table)?;
     let winner = head_row.version;
-    let base = base.or_else(|| base_version(text));
+    let base = base.or_else(|| base_version(config));
     let base = base.or((winner == 0).then_some(0)).ok_or(ApplyError::NoBase { current: winner })?;
-    let digest = digest(text);
+    let digest = digest(config);
     if base != winner {
-        // A repeat of an offer that was accepted, perhaps without its confirmation, is no lost race.
+        // This configuration was already accepted, possibly without confirmation: not a conflict.
         if head_row.digest == digest && winner == base + 1 {
             return Ok(Applied::Accepted { version: winner });
         }
@@ -131,13 +135,13 @@
     let (_, old) = current_text(table, objects)?;
     let version = winner + 1;
     let object = format!("config/{version}-{digest}");
-    objects.put(&object, text.as_bytes())?;
+    objects.put(&object, config.as_bytes())?;
     let next = HeadRow { version, digest: digest.clone(), object };
-    let txn = offer(table, &old, text, &next, head_version)?;
-    settle(table, &txn, &next, base)
+    let txn = build_txn(table, &old, config, &next, head_version)?;
+    commit(table, &txn, &next, base)
 }
 
-fn offer(
+fn build_txn(
     table: &dyn Table,
     old: &str,
     new: &str,
@@ -145,31 +149,37 @@
     head_version: u64,
 ) -> Result<Txn, PlatformError> {
     let delta = Delta::between(old, new);
-    let whole = next.version == 1 || delta.size() > DELTA_LIMIT;
-    let row = if whole {
-        DeltaRow { version: next.version, whole, ..DeltaRow::default() }
+    let omit_content = next.version == 1 || delta.size() > DELTA_LIMIT;
+    let row = if omit_content {
+        DeltaRow { version: next.version, whole: omit_content, ..DeltaRow::default() }
     } else {
         let (changed, removed) = (delta.changed, delta.removed);
-        DeltaRow { version: next.version, digest: delta.digest, changed, removed, whole }
+        DeltaRow {
+            version: next.version,
+            digest: delta.digest,
+            changed,
+            removed,
+            whole: omit_content,
+        }
     };
     let key = delta_key(next.version);
-    let ring = table.read(std::slice::from_ref(&key))?;
-    let ring_version = ring.first().map_or(0, |row: &Row| row.version);
+    let delta_rows = table.read(std::slice::from_ref(&key))?;
+    let delta_row_version = delta_rows.first().map_or(0, |row: &Row| row.version);
     let mut txn = Txn::default();
     txn.put(HEAD, head_version, Some(next.encode_to_vec()));
-    txn.put(key, ring_version, Some(row.encode_to_vec()));
+    txn.put(key, delta_row_version, Some(row.encode_to_vec()));
     Ok(txn)
 }
 
-/// Commits the offer; without a confirmation, reads back whose text is in force.
-fn settle(table: &dyn Table, txn: &Txn, next: &HeadRow, base: u64) -> Result<Applied, ApplyError> {
+/// Commits the transaction. If the outcome is not known, reads back which configuration is active.
+fn commit(table: &dyn Table, txn: &Txn, next: &HeadRow, base: u64) -> Result<Applied, ApplyError> {
     let version = next.version;
     let mut outcome = table.commit(txn);
-    for _ in 0..READ_BACKS {
+    for _ in 0..COMMIT_RETRIES {
         match outcome {
             Outcome::Committed(_) => return Ok(Applied::Accepted { version }),
             Outcome::Conflict => break,
-            // Giving the same transaction again is safe: if it took effect, it now conflicts.
+            // Repeating the same transaction is safe: if it took effect, the repeat conflicts.
             Outcome::Unknown => outcome = table.commit(txn),
         }
     }
--- a/crates/runtime/src/connect.rs
+++ b/crates/runtime/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, opened when they are needed, and the listener for theirs.
+//! Outgoing connections to peers, opened on demand, and the listener for incoming ones.
 
 use std::{
     collections::HashMap,
@@ -21,16 +21,16 @@
     pool::spawn,
 };
 
-/// Connections that a process accepts at once.
+/// Maximum number of accepted connections that are open at a time, including handshakes.
 const ACCEPT_LIMIT: usize = 1_024;
-/// How long a failed accept pauses the listener.
+/// How long the listener pauses after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// How long an operator's client waits for a dump.
 const DUMP_TIMEOUT: Duration = Duration::from_secs(5);
 
 type Slot = Arc<Mutex<Option<Arc<Link>>>>;
 
-/// Opened connections by address.
+/// The outgoing connections, by address.
 pub(crate) struct Links {
     context: LinkContext,
     sink: Arc<dyn FrameSink>,
@@ -42,14 +42,15 @@
         Links { context, sink, slots: Mutex::new(HashMap::new()) }
     }
 
-    /// The connection to `address`, opened if there is none that lives.
+    /// Returns the connection to `address`; opens one if none is alive.
     pub(crate) fn get(&self, address: &str) -> Result<Arc<Link>, WireError> {
         let slot = {
             let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
-            slots.retain(|_, slot| keep(slot));
+            slots.retain(|_, slot| in_use(slot));
             slots.entry(address.to_owned()).or_default().clone()
         };
-        // One at a time per address: a burst opens one connection and not hundreds.
+        // The lock serialises opening per address, so that a burst of frames opens one connection
+        // instead of hundreds.
         let mut current = slot.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(link) = current.as_ref().filter(|link| !link.is_dead()) {
             return Ok(link.clone());
@@ -61,8 +62,8 @@
         Ok(link)
     }
 
-    /// Sends a frame to `address`; what cannot be sent is dropped, as all that goes this way is
-    /// sent again by its sender if it is still needed.
+    /// Sends a frame to `address`. A frame that cannot be sent is dropped: the senders that use
+    /// this method repeat a frame if it is still needed.
     pub(crate) fn send(&self, address: &str, frame: Frame) -> bool {
         self.get(address).is_ok_and(|link| link.send(frame))
     }
@@ -78,8 +79,8 @@
     }
 }
 
-/// Whether a slot holds a living connection or is being filled.
-fn keep(slot: &Slot) -> bool {
+/// Returns whether a slot holds a live connection or is being filled.
+fn in_use(slot: &Slot) -> bool {
     match slot.try_lock() {
         Ok(link) => {
             link.as_ref().is_some_and(|link| !link.is_dead()) || Arc::strong_count(slot) > 1
@@ -88,40 +89,40 @@
     }
 }
 
-/// A listener for peers; dropping it ends it and every connection that it accepted.
+/// A listener for peers. Dropping it closes the listener and every connection that it accepted.
 ///
-/// The failure it prevents: a side stops and its connections live on, answering pings from threads of
-/// their own. Entries then take it for slow, and callers wait for their calls until their time is up.
+/// If the connections of a stopped side stayed open, their threads would still answer pings.
+/// Entries would take the side for slow, and callers would wait for their calls until the deadline.
 pub(crate) struct PeerListener {
     address: SocketAddr,
-    accepted: Arc<Accepted>,
+    accepted: Arc<AcceptedLinks>,
 }
 
 impl Drop for PeerListener {
     fn drop(&mut self) {
         self.accepted.close();
-        wake(self.address);
+        unblock_accept(self.address);
     }
 }
 
-/// The accepted connections.
+/// The accepted connections of a listener.
 #[derive(Default)]
-struct Accepted {
-    /// Connections and handshakes.
+struct AcceptedLinks {
+    /// Number of open connections and of handshakes in progress.
     open: AtomicUsize,
     stopped: AtomicBool,
     links: Mutex<Vec<Weak<Link>>>,
 }
 
-impl Accepted {
+impl AcceptedLinks {
     fn close(&self) {
         self.stopped.store(true, Ordering::Release);
         let links = std::mem::take(&mut *self.links());
         links.iter().filter_map(Weak::upgrade).for_each(|link| link.close());
     }
 
-    /// Keeps a connection, unless the listener has stopped meanwhile.
-    fn keep(&self, link: &Arc<Link>) {
+    /// Registers a connection, or closes it if the listener has stopped in the meantime.
+    fn register(&self, link: &Arc<Link>) {
         let mut links = self.links();
         links.retain(|link| link.strong_count() > 0);
         links.push(Arc::downgrade(link));
@@ -136,14 +137,14 @@
     }
 }
 
-/// Accepts connections of peers until what it gives is dropped.
+/// Accepts connections from peers until the returned listener is dropped.
 pub(crate) fn listen(
     listener: TcpListener,
     context: LinkContext,
     sink: Arc<dyn FrameSink>,
 ) -> io::Result<PeerListener> {
     let address = listener.local_addr()?;
-    let accepted = Arc::new(Accepted::default());
+    let accepted = Arc::new(AcceptedLinks::default());
     let peers = PeerListener { address, accepted: accepted.clone() };
     spawn("accept", move || {
         for stream in listener.incoming() {
@@ -154,30 +155,30 @@
                 std::thread::park_timeout(ACCEPT_PAUSE);
                 continue;
             };
-            greet(stream, context.clone(), sink.clone(), &accepted);
+            accept_peer(stream, context.clone(), sink.clone(), &accepted);
         }
     })?;
     Ok(peers)
 }
 
-/// Shakes hands with a peer, in a thread of its own.
-fn greet(
+/// Performs the handshake with a peer in a separate thread.
+fn accept_peer(
     stream: TcpStream,
     context: LinkContext,
     sink: Arc<dyn FrameSink>,
-    accepted: &Arc<Accepted>,
+    accepted: &Arc<AcceptedLinks>,
 ) {
-    // Strangers could else use up the threads before they prove anything.
+    // Without the limit, unauthenticated clients could exhaust the threads.
     if accepted.open.fetch_add(1, Ordering::AcqRel) >= ACCEPT_LIMIT {
         accepted.open.fetch_sub(1, Ordering::AcqRel);
         return;
     }
-    let counted = Arc::new(Counted { accepted: accepted.clone(), sink });
-    let count = accepted.clone();
-    let started = spawn("greet", move || match Link::accept(stream, &context, counted) {
-        Ok(link) => count.keep(&link),
+    let counting_sink = Arc::new(CountingSink { accepted: accepted.clone(), sink });
+    let open_links = accepted.clone();
+    let started = spawn("handshake", move || match Link::accept(stream, &context, counting_sink) {
+        Ok(link) => open_links.register(&link),
         Err(_) => {
-            count.open.fetch_sub(1, Ordering::AcqRel);
+            open_links.open.fetch_sub(1, Ordering::AcqRel);
             context.meter.add("handshakes_failed", "", 1);
         }
     });
@@ -186,13 +187,13 @@
     }
 }
 
-/// Counts accepted connections while they live.
-struct Counted {
-    accepted: Arc<Accepted>,
+/// A sink that decrements the count of accepted connections when a connection closes.
+struct CountingSink {
+    accepted: Arc<AcceptedLinks>,
     sink: Arc<dyn FrameSink>,
 }
 
-impl FrameSink for Counted {
+impl FrameSink for CountingSink {
     fn frame(&self, link: &Arc<Link>, kind: Kind) {
         self.sink.frame(link, kind);
     }
@@ -203,8 +204,8 @@
     }
 }
 
-/// Wakes a listener that waits in `accept`, so that it sees that it has stopped.
-fn wake(address: SocketAddr) {
+/// Connects to a listener that is blocked in `accept`, so that it notices that it has been stopped.
+fn unblock_accept(address: SocketAddr) {
     let _ = TcpStream::connect_timeout(&address, Duration::from_millis(200));
 }
 
@@ -220,10 +221,10 @@
     fn closed(&self, _: &Arc<Link>) {}
 }
 
-/// Asks a process for its state as JSON text.
+/// Requests a process's state dump, as JSON text.
 ///
 /// # Errors
-/// The process does not answer or does not share the secret.
+/// The process does not answer or has another secret.
 pub fn ask_dump(address: SocketAddr, secret: &str) -> Result<String, WireError> {
     let identity = Identity { name: "operator".to_owned(), session: 0, role: PeerRole::Operator };
     let context = LinkContext {
@@ -240,10 +241,10 @@
     reply.map_err(|_| WireError::Closed)
 }
 
-/// [`ask_dump`], parsed.
+/// Requests a process's state dump, as a parsed JSON value.
 ///
 /// # Errors
-/// As [`ask_dump`]; text that is no JSON counts as a frame out of turn.
+/// As [`ask_dump`]. Text that is not valid JSON is reported as an unexpected frame.
 pub fn dump_json(address: SocketAddr, secret: &str) -> Result<serde_json::Value, WireError> {
     let text = ask_dump(address, secret)?;
     serde_json::from_str(&text).map_err(|_| WireError::OutOfTurn)
--- a/crates/runtime/src/entry/control.rs
+++ b/crates/runtime/src/entry/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: the reducer's events in, its effects out.
+//! The control thread of an entry: passes events to the reducer and carries out its effects.
 
 use std::{
     collections::HashMap,
@@ -18,9 +18,9 @@
 use super::{
     Input, Shared,
     dump::dump,
-    exchange::{self, SendJob},
-    intake::Held,
-    peers::{HEARD, TOLD, class_number, rows_frame, verdict_number},
+    exchange::{self, Attempt},
+    intake::PendingRequest,
+    peers::{DEMAND_ACKED, UNSOLICITED, class_number, refusal_number, rows_frame},
 };
 use crate::{
     clock::minute_of_day,
@@ -29,7 +29,7 @@
     link::{CallMessage, Link},
 };
 
-/// Time between two ticks of the reducer.
+/// Interval between two ticks of the reducer.
 const TICK: Duration = Duration::from_millis(50);
 
 pub(super) struct Control {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Runs until the process is drained or told to stop.
+    /// Runs until the process is drained or stopped.
     pub(super) fn run(mut self, inputs: &Receiver<Input>) {
         let mut effects = Vec::new();
         loop {
@@ -77,7 +77,7 @@
             let begun = Instant::now();
             match input {
                 Ok(Input::Stop) | Err(RecvTimeoutError::Disconnected) => break,
-                Ok(input) => self.take(input, &mut effects),
+                Ok(input) => self.handle_input(input, &mut effects),
                 Err(RecvTimeoutError::Timeout) => {}
             }
             if self.last_tick.elapsed() >= TICK {
@@ -101,21 +101,21 @@
     fn step(&mut self, event: Event, effects: &mut Vec<Effect>) {
         let begun = Instant::now();
         self.entry.step(self.shared.clock.now(), event, effects);
-        self.shared.meter.time("control_step", begun.elapsed().as_micros() as u64);
+        self.shared.meter.record_time("control_step", begun.elapsed().as_micros() as u64);
     }
 
-    fn take(&mut self, input: Input, effects: &mut Vec<Effect>) {
+    fn handle_input(&mut self, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::Event(event) => self.step(event, effects),
             Input::Dump(link) => {
                 let json = dump(&self.entry, &self.shared, self.busy, self.started);
                 link.send(wire::DumpReply { json }.into());
             }
-            Input::Text(link, version) => {
+            Input::ConfigRequest(link, version) => {
                 let text = (self.entry.version() == version).then(|| self.entry.text().to_owned());
                 link.send(wire::TextReply { version, text }.into());
             }
-            Input::Pull(link, id, since) => {
+            Input::FeedPull(link, id, since) => {
                 self.next_pull += 1;
                 self.pulls.retain(|_, (link, _)| !link.is_dead());
                 self.pulls.insert(self.next_pull, (link, id));
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Shows the other threads what they report.
+    /// Updates the readiness and the gauges that other threads report.
     fn publish(&self) {
         self.shared.ready.store(self.entry.ready(), Ordering::Release);
         let mut gauges = self.shared.gauges.lock().unwrap_or_else(PoisonError::into_inner);
@@ -144,70 +144,70 @@
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Send { .. } => self.send(effect),
+            Effect::Send { .. } => self.start_exchange(effect),
             Effect::Cancel { id, .. } => {
-                let active = self.shared.active().get(&id).cloned();
-                if let Some(active) = active {
-                    self.shared.senders.run(move || active.cancel());
+                let exchange = self.shared.exchanges().get(&id).cloned();
+                if let Some(exchange) = exchange {
+                    self.shared.senders.run(move || exchange.cancel());
                 }
             }
             Effect::Refuse(id, refusal) => {
-                let word = refusal.kind.word();
-                self.shared.meter.add("refusals", word, 1);
-                let held = self.shared.held().remove(&id);
-                match held {
-                    Some(held) => self.answer(held, refusal),
+                let kind = refusal.kind.word();
+                self.shared.meter.add("refusals", kind, 1);
+                let pending = self.shared.pending().remove(&id);
+                match pending {
+                    Some(pending) => self.refuse(pending, refusal),
                     None => {
-                        if let Some(active) = self.shared.active().get(&id) {
-                            active.tell(CallMessage::Refuse(refusal));
+                        if let Some(exchange) = self.shared.exchanges().get(&id) {
+                            exchange.notify(CallMessage::Refuse(refusal));
                         }
                     }
                 }
             }
             Effect::Replay(id, answer) => {
                 self.shared.meter.add("replays", "", 1);
-                if let Some(held) = self.shared.held().remove(&id) {
+                if let Some(pending) = self.shared.pending().remove(&id) {
                     self.shared.senders.run(move || {
                         let headers = [
                             Header::new("Content-Type", &answer.content_type),
                             Header::new("Idempotency-Replayed", "true"),
                         ];
                         let body = answer.body.unwrap_or_default();
-                        let _ = respond(held.request, answer.status, &headers, &body);
+                        let _ = respond(pending.request, answer.status, &headers, &body);
                     });
                 }
             }
             Effect::Models(id, models) => {
-                let Some(held) = self.shared.held().remove(&id) else { return };
+                let Some(pending) = self.shared.pending().remove(&id) else { return };
                 match models {
-                    Err(refusal) => self.answer(held, refusal),
+                    Err(refusal) => self.refuse(pending, refusal),
                     Ok(names) => drop(self.shared.senders.run(move || {
                         let headers = [Header::new("Content-Type", "application/json")];
                         let body = model_list(&names);
-                        let _ = respond(held.request, 200, &headers, body.as_bytes());
+                        let _ = respond(pending.request, 200, &headers, body.as_bytes());
                     })),
                 }
             }
-            Effect::Feed(effect) => self.feed(effect),
+            Effect::Feed(effect) => self.perform_feed(effect),
             Effect::Commit(id, txn) => {
                 self.shared.meter.add("table_commits", "", 1);
                 let table = self.table.clone();
-                self.ask_platform(move || Some(Event::Committed(id, table.commit(&txn))));
+                self.query_platform(move || Some(Event::Committed(id, table.commit(&txn))));
             }
             Effect::Read(keys) => {
                 self.shared.meter.add("table_reads", "", 1);
                 let table = self.table.clone();
-                self.ask_platform(move || table.read(&keys).ok().map(Event::Rows));
+                self.query_platform(move || table.read(&keys).ok().map(Event::Rows));
             }
             Effect::ReadClaim(id, key) => {
                 self.shared.meter.add("table_reads", "", 1);
                 let table = self.table.clone();
-                self.ask_platform(move || {
+                self.query_platform(move || {
                     let row = table.read(&[key]).ok().and_then(|mut rows| rows.pop());
                     Some(Event::ClaimRead(id, row))
                 });
             }
-            Effect::FetchText(head) => self.fetch_text(head),
+            Effect::FetchText(head) => self.fetch_config(head),
             Effect::Demand { to, demand } => {
                 let frame = wire::Demand {
                     model: demand.model,
@@ -219,10 +219,10 @@
                 self.send_frame(to, frame.into());
             }
             Effect::Heard { to, model } => {
-                self.send_frame(to, wire::Verdict { model, kind: HEARD }.into());
+                self.send_frame(to, wire::Verdict { model, kind: DEMAND_ACKED }.into());
             }
             Effect::Verdict { to, model, kind } => {
-                let kind = verdict_number(kind);
+                let kind = refusal_number(kind);
                 self.send_frame(to, wire::Verdict { model, kind }.into());
             }
             Effect::Poke { address, from, .. } => {
@@ -230,7 +230,7 @@
             }
             Effect::Announce { to, row } => {
                 let page = Page { rows: vec![row], ..Page::default() };
-                self.send_frame(to, rows_frame(TOLD, page).into());
+                self.send_frame(to, rows_frame(UNSOLICITED, page).into());
             }
             Effect::Configured(version) => {
                 self.shared.meter.add("configurations", "", 1);
@@ -241,25 +241,25 @@
         }
     }
 
-    fn send(&self, effect: Effect) {
-        let Some((id, job)) = SendJob::from_effect(effect) else { return };
-        let Some(held) = self.shared.held().remove(&id) else { return };
+    fn start_exchange(&self, effect: Effect) {
+        let Some((id, attempt)) = Attempt::from_effect(effect) else { return };
+        let Some(pending) = self.shared.pending().remove(&id) else { return };
         self.shared.meter.add("sends", "", 1);
-        exchange::start(&self.shared, self.session, held, job);
+        exchange::start(&self.shared, self.session, pending, attempt);
     }
 
-    fn answer(&self, held: Held, refusal: Refusal) {
+    fn refuse(&self, pending: PendingRequest, refusal: Refusal) {
         self.shared.senders.run(move || {
-            let _ = front::refuse(held.request, &refusal);
+            let _ = front::refuse(pending.request, &refusal);
         });
     }
 
-    /// Asks the platform in another thread. A full pool counts as no answer, which the reducer's
-    /// own patience deals with.
-    fn ask_platform(&self, question: impl FnOnce() -> Option<Event> + Send + 'static) {
+    /// Queries the platform in another thread. With a full pool there is no answer, and the
+    /// reducer's timeout applies.
+    fn query_platform(&self, query: impl FnOnce() -> Option<Event> + Send + 'static) {
         let shared = self.shared.clone();
         self.shared.platform.run(move || {
-            if let Some(event) = question() {
+            if let Some(event) = query() {
                 shared.event(event);
             }
         });
@@ -272,12 +272,12 @@
         });
     }
 
-    fn feed(&mut self, effect: FeedEffect) {
+    fn perform_feed(&mut self, effect: FeedEffect) {
         match effect {
             FeedEffect::Ask { id, source: Source::Table, since } => {
                 self.shared.meter.add("table_polls", "", 1);
                 let table = self.table.clone();
-                self.ask_platform(move || {
+                self.query_platform(move || {
                     let changes = table.changes(FEED, since, citronrill_decide::PAGE).ok();
                     let page = changes.map(|changes| Page {
                         rows: changes.rows,
@@ -305,8 +305,9 @@
         }
     }
 
-    /// Fetches a text from the object store, or from a peer while the store does not answer.
-    fn fetch_text(&self, head: HeadRow) {
+    /// Fetches a configuration from the object store, or requests it from peers if the store does
+    /// not answer or does not have it.
+    fn fetch_config(&self, head: HeadRow) {
         let objects = self.objects.clone();
         let peers = self.entry.view().members().map(|(_, row)| row.address.clone());
         let peers = peers.collect::<Vec<_>>();
@@ -322,11 +323,11 @@
         });
     }
 
-    /// Refuses what is left when the time for a planned stop is over.
+    /// Refuses the pending requests and closes all connections at the end of the thread.
     fn stop(&self) {
-        let left = std::mem::take(&mut *self.shared.held());
-        for held in left.into_values() {
-            let _ = front::refuse(held.request, &Refusal::not_run(RefusalKind::Draining));
+        let remaining = std::mem::take(&mut *self.shared.pending());
+        for pending in remaining.into_values() {
+            let _ = front::refuse(pending.request, &Refusal::not_run(RefusalKind::Draining));
         }
         self.shared.links.close();
         log::info!("event=stopped");
--- a/crates/runtime/src/entry/dump.rs
+++ b/crates/runtime/src/entry/dump.rs
@@ -1,4 +1,4 @@
-//! An entry's state as JSON. Keys and secrets are never part of it.
+//! An entry's state dump as JSON. It never contains keys or secrets.
 
 use std::{
     sync::{Arc, PoisonError},
--- a/crates/runtime/src/entry/exchange.rs
+++ b/crates/runtime/src/entry/exchange.rs
@@ -1,4 +1,4 @@
-//! One request's exchange with a side, in a thread of its own.
+//! The exchange of a request with a side, in a separate thread.
 
 use std::{
     io::Read,
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use citronrill_decide::{
-    ANSWER_LIMIT, Answer as KeptAnswer, CancelAnswer, Decline, Effect, Event, Ran, Refusal,
+    ANSWER_LIMIT, Answer as StoredAnswer, CancelAnswer, Decline, Effect, Event, Ran, Refusal,
     RefusalKind, RequestId,
 };
 use citronrill_http::{Answer, Header, respond};
@@ -17,7 +17,7 @@
 
 use super::{
     Shared,
-    intake::{Held, HeldBody},
+    intake::{PendingRequest, RequestBody},
     peers::class_number,
 };
 use crate::{
@@ -27,27 +27,27 @@
     side::WINDOW,
 };
 
-/// Messages that wait for an exchange: the window, and the few that come beside it.
-const QUEUE: usize = WINDOW as usize + 16;
-/// How often an exchange looks whether its connection lives.
-const TURN: Duration = Duration::from_millis(300);
-/// An answer that is not a stream is held back up to this size, so that one that breaks off can
-/// still be refused as a whole.
-const HOLD_LIMIT: usize = 1 << 20;
-/// Bodies up to this size travel with their call.
-const INLINE_BODY: usize = 64 << 10;
-/// Bytes of a body in one frame.
-const BODY_PART: usize = 16 << 10;
-/// Fresh connections on which an exchange asks what became of its call.
-const RESUMES: usize = 3;
+/// Maximum number of messages queued for an exchange: the window, and some for other frames.
+const QUEUE_MESSAGES: usize = WINDOW as usize + 16;
+/// How often an exchange checks whether its connection is alive.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// A response that is not a stream is buffered up to this size, in bytes, so that a truncated one
+/// can still be replaced by a refusal.
+const BUFFER_LIMIT: usize = 1 << 20;
+/// A request body up to this size, in bytes, is sent in the same frame as its call.
+const INLINE_BODY_BYTES: usize = 64 << 10;
+/// Bytes of a request body per frame.
+const BODY_PART_BYTES: usize = 16 << 10;
+/// Maximum number of attempts to resume a call over a new connection.
+const MAX_RESUMES: usize = 3;
 const RESUME_PAUSE: Duration = Duration::from_millis(250);
-/// How long to wait for the peer's clock on a new connection.
-const CLOCK_PATIENCE: Duration = Duration::from_millis(500);
-/// An answer's time over its deadline after which an exchange ends whatever happens.
-const OVERTIME: Duration = Duration::from_secs(5);
+/// How long to wait for the first reading of the peer's clock on a new connection.
+const CLOCK_TIMEOUT: Duration = Duration::from_millis(500);
+/// An exchange ends unconditionally when this time has passed since its deadline.
+const DEADLINE_GRACE: Duration = Duration::from_secs(5);
 
-/// A sending, as the reducer ordered it.
-pub(super) struct SendJob {
+/// An attempt to run a call at a side, as requested by the reducer.
+pub(super) struct Attempt {
     id: RequestId,
     call: u64,
     address: String,
@@ -58,29 +58,29 @@
     claimed: bool,
 }
 
-impl SendJob {
-    pub(super) fn from_effect(effect: Effect) -> Option<(RequestId, SendJob)> {
+impl Attempt {
+    pub(super) fn from_effect(effect: Effect) -> Option<(RequestId, Attempt)> {
         let Effect::Send { id, call, address, model, org, class, slack_ms, claimed, .. } = effect
         else {
             return None;
         };
         let class = class_number(class);
-        let job = SendJob { id, call, address, model, org, class, slack_ms, claimed };
-        Some((id, job))
+        let attempt = Attempt { id, call, address, model, org, class, slack_ms, claimed };
+        Some((id, attempt))
     }
 }
 
-/// What other threads need of an exchange.
+/// A handle of an exchange for other threads.
 #[derive(Clone)]
-pub(crate) struct Active {
+pub(crate) struct ExchangeHandle {
     sender: Sender<CallMessage>,
     link: Arc<Mutex<Option<Arc<Link>>>>,
     number: u64,
     expires: u64,
 }
 
-impl Active {
-    /// Asks the side to cancel the call.
+impl ExchangeHandle {
+    /// Requests the cancellation of the call from the side.
     pub(super) fn cancel(&self) {
         let link = self.link.lock().unwrap_or_else(PoisonError::into_inner).clone();
         if let Some(link) = link {
@@ -89,95 +89,100 @@
         }
     }
 
-    pub(super) fn tell(&self, message: CallMessage) {
+    pub(super) fn notify(&self, message: CallMessage) {
         let _ = self.sender.try_send(message);
     }
 }
 
-/// How an exchange ended.
+/// The outcome of an exchange.
 enum Outcome {
-    /// The whole answer was passed on.
-    Whole { load: u32 },
-    /// The side will not run the call.
+    /// The complete response was forwarded.
+    Complete { load: u32 },
+    /// The side has declined the call and will not run it.
     Declined(Decline, u32),
-    /// It cannot be found out whether the call ran.
+    /// It cannot be determined whether the call ran.
     Lost,
-    /// The caller went away.
-    CallerGone,
-    /// The control thread refused the request.
+    /// The caller has disconnected.
+    CallerDisconnected,
+    /// The control thread has refused the request.
     Refused(Refusal),
 }
 
 struct Exchange {
     shared: Arc<Shared>,
-    job: SendJob,
+    attempt: Attempt,
     link: Arc<Link>,
     session: u64,
     receiver: Receiver<CallMessage>,
     sender: Sender<CallMessage>,
     shared_link: Arc<Mutex<Option<Arc<Link>>>>,
     expires: u64,
-    until: Instant,
-    held: Option<Held>,
-    next: u64,
-    acked: u64,
+    give_up_at: Instant,
+    pending: Option<PendingRequest>,
+    next_part: u64,
+    acked_parts: u64,
     status: u16,
     headers: Vec<Header>,
     buffer: Vec<u8>,
-    kept: Option<Vec<u8>>,
-    answer: Option<Answer>,
+    replay_body: Option<Vec<u8>>,
+    response: Option<Answer>,
     resumes: usize,
     body_sent: bool,
-    body_taken: u64,
+    body_acked: u64,
     body_parts: u64,
 }
 
-/// Starts the exchange's thread.
-pub(super) fn start(shared: &Arc<Shared>, entry: u64, held: Held, job: SendJob) {
+/// Starts the thread of an exchange.
+pub(super) fn start(
+    shared: &Arc<Shared>,
+    entry_session: u64,
+    pending: PendingRequest,
+    attempt: Attempt,
+) {
     let shared = shared.clone();
-    let (id, call) = (job.id, job.call);
-    let keeper = shared.clone();
-    let held = Arc::new(Mutex::new(Some(held)));
-    let moved = held.clone();
+    let (id, call) = (attempt.id, attempt.call);
+    let fallback = shared.clone();
+    let pending = Arc::new(Mutex::new(Some(pending)));
+    let thread_pending = pending.clone();
     let started = spawn("exchange", move || {
-        let held = moved.lock().unwrap_or_else(PoisonError::into_inner).take();
-        if let Some(held) = held {
-            run(&shared, entry, held, job);
+        let pending = thread_pending.lock().unwrap_or_else(PoisonError::into_inner).take();
+        if let Some(pending) = pending {
+            run(&shared, entry_session, pending, attempt);
         }
     });
     if started.is_err() {
-        // No thread can be had: the call was not sent.
-        let held = held.lock().unwrap_or_else(PoisonError::into_inner).take();
-        if let Some(held) = held {
-            keeper.held().insert(id, held);
+        // The thread could not be started, so the call was not sent.
+        let pending = pending.lock().unwrap_or_else(PoisonError::into_inner).take();
+        if let Some(pending) = pending {
+            fallback.pending().insert(id, pending);
         }
-        keeper.event(Event::Unsent(id, call));
+        fallback.event(Event::Unsent(id, call));
     }
 }
 
-fn run(shared: &Arc<Shared>, entry: u64, held: Held, job: SendJob) {
-    log::debug!("event=send request={} call={} entry={entry}", job.id.0, job.call);
-    let (id, call) = (job.id, job.call);
-    let begun = Instant::now();
-    let link = shared.links.get(&job.address);
+fn run(shared: &Arc<Shared>, entry_session: u64, pending: PendingRequest, attempt: Attempt) {
+    log::debug!("event=send request={} call={} entry={entry_session}", attempt.id.0, attempt.call);
+    let (id, call) = (attempt.id, attempt.call);
+    let started_at = Instant::now();
+    let link = shared.links.get(&attempt.address);
     let ready = link.ok().and_then(|link| Some((remote_now(&link)?, link)));
     let Some((clock, link)) = ready else {
-        shared.held().insert(id, held);
+        shared.pending().insert(id, pending);
         return shared.event(Event::Unsent(id, call));
     };
-    // Time spent on connecting is time of the request.
-    let slack = job.slack_ms.saturating_sub(begun.elapsed().as_millis() as u64);
-    let (sender, receiver) = bounded(QUEUE);
+    // The time for connecting counts against the request's deadline.
+    let slack = attempt.slack_ms.saturating_sub(started_at.elapsed().as_millis() as u64);
+    let (sender, receiver) = bounded(QUEUE_MESSAGES);
     let shared_link = Arc::new(Mutex::new(Some(link.clone())));
-    let active = Active {
+    let handle = ExchangeHandle {
         sender: sender.clone(),
         link: shared_link.clone(),
-        number: job.call,
+        number: attempt.call,
         expires: clock + slack,
     };
-    shared.active().insert(id, active);
-    let until = begun + Duration::from_millis(job.slack_ms) + OVERTIME;
-    let kept = job.claimed.then(Vec::new);
+    shared.exchanges().insert(id, handle);
+    let give_up_at = started_at + Duration::from_millis(attempt.slack_ms) + DEADLINE_GRACE;
+    let replay_body = attempt.claimed.then(Vec::new);
     let exchange = Exchange {
         shared: shared.clone(),
         session: link.peer.session,
@@ -186,32 +191,32 @@
         sender,
         shared_link,
         expires: clock + slack,
-        until,
-        held: Some(held),
-        next: 0,
-        acked: 0,
+        give_up_at,
+        pending: Some(pending),
+        next_part: 0,
+        acked_parts: 0,
         status: 502,
         headers: Vec::new(),
         buffer: Vec::new(),
-        kept,
-        answer: None,
+        replay_body,
+        response: None,
         resumes: 0,
         body_sent: false,
-        body_taken: 0,
+        body_acked: 0,
         body_parts: 0,
-        job,
+        attempt,
     };
-    exchange.work();
+    exchange.run();
 }
 
-/// The side's clock; on a new connection its first reading may still be on its way.
+/// Returns the side's clock. On a new connection, waits for its first reading.
 fn remote_now(link: &Link) -> Option<u64> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         if let Some(clock) = link.remote_now() {
             return Some(clock);
         }
-        if link.is_dead() || begun.elapsed() >= CLOCK_PATIENCE {
+        if link.is_dead() || started_at.elapsed() >= CLOCK_TIMEOUT {
             return None;
         }
         std::thread::park_timeout(Duration::from_millis(1));
@@ -219,76 +224,79 @@
 }
 
 impl Exchange {
-    fn work(mut self) {
-        self.link.attach(self.job.call, self.sender.clone());
-        let outcome = if self.offer() { self.exchange() } else { self.recover() };
-        let (id, call) = (self.job.id, self.job.call);
-        self.link.detach(self.job.call);
+    fn run(mut self) {
+        self.link.attach(self.attempt.call, self.sender.clone());
+        let outcome = if self.send_call() { self.receive() } else { self.resume() };
+        let (id, call) = (self.attempt.id, self.attempt.call);
+        self.link.detach(self.attempt.call);
         match outcome {
-            Outcome::Whole { load } => self.finish(load),
-            Outcome::Declined(why, load) => {
-                self.shared.meter.add("declines", why.word(), 1);
-                if self.spent() {
-                    self.give_back();
+            Outcome::Complete { load } => self.finish(load),
+            Outcome::Declined(reason, load) => {
+                self.shared.meter.add("declines", reason.word(), 1);
+                if self.body_consumed() {
+                    self.return_request();
                     return self.shared.event(Event::Spent(id, call, Ran::No));
                 }
-                self.give_back();
-                self.shared.event(Event::Declined { id, call, why, load });
+                self.return_request();
+                self.shared.event(Event::Declined { id, call, why: reason, load });
             }
             Outcome::Lost => {
                 self.shared.meter.add("lost", "", 1);
-                self.lose();
+                self.handle_lost();
             }
-            Outcome::CallerGone => {
+            Outcome::CallerDisconnected => {
                 self.shared.meter.add("callers_gone", "", 1);
                 self.cancel();
-                self.forget();
+                self.unregister();
                 self.shared.event(Event::CallerGone(id));
             }
             Outcome::Refused(refusal) => {
                 self.cancel();
-                self.forget();
+                self.unregister();
                 self.refuse(&refusal);
             }
         }
     }
 
-    /// Sends the call; `false` if the connection is dead, and then it may have been sent.
-    fn offer(&mut self) -> bool {
-        let Some(held) = &self.held else { return false };
-        let (body, length) = match &held.body {
-            HeldBody::Whole(body) if body.len() <= INLINE_BODY => (Some(body.to_vec()), None),
-            HeldBody::Whole(body) => (None, Some(body.len() as u64)),
-            HeldBody::Unread(length) => (None, *length),
+    /// Sends the call. Returns `false` if the connection is dead; the call may have been sent even
+    /// then.
+    fn send_call(&mut self) -> bool {
+        let Some(pending) = &self.pending else { return false };
+        let (body, length) = match &pending.body {
+            RequestBody::Complete(body) if body.len() <= INLINE_BODY_BYTES => {
+                (Some(body.to_vec()), None)
+            }
+            RequestBody::Complete(body) => (None, Some(body.len() as u64)),
+            RequestBody::Unread(length) => (None, *length),
         };
         self.body_sent = body.is_some();
         let call = wire::Call {
-            number: self.job.call,
+            number: self.attempt.call,
             session: self.session,
             expires: self.expires,
-            model: self.job.model.clone(),
-            org: self.job.org.clone(),
-            class: self.job.class,
-            verb: held.verb.clone(),
-            path: held.path.clone(),
-            headers: front::to_wire(held.headers.clone()),
+            model: self.attempt.model.clone(),
+            org: self.attempt.org.clone(),
+            class: self.attempt.class,
+            verb: pending.verb.clone(),
+            path: pending.path.clone(),
+            headers: front::to_wire(pending.headers.clone()),
             body,
             length,
         };
         self.link.send(call.into())
     }
 
-    fn exchange(&mut self) -> Outcome {
+    fn receive(&mut self) -> Outcome {
         loop {
-            if Instant::now() > self.until {
+            if Instant::now() > self.give_up_at {
                 return Outcome::Lost;
             }
-            let message = self.receiver.recv_timeout(TURN);
+            let message = self.receiver.recv_timeout(POLL_INTERVAL);
             let ended = match message {
-                Ok(CallMessage::Frame(kind)) => self.take(kind),
+                Ok(CallMessage::Frame(kind)) => self.handle_frame(kind),
                 Ok(CallMessage::Refuse(refusal)) => Some(Outcome::Refused(refusal)),
-                Ok(CallMessage::Broken) => Some(self.recover()),
-                Err(_) if self.link.is_dead() => Some(self.recover()),
+                Ok(CallMessage::Disconnected) => Some(self.resume()),
+                Err(_) if self.link.is_dead() => Some(self.resume()),
                 Err(_) => None,
             };
             if let Some(outcome) = ended {
@@ -297,76 +305,78 @@
         }
     }
 
-    /// Goes on over a fresh connection: asks what became of the call, and for what is missing.
+    /// Resumes the call over a new connection: requests its status and the missing response parts.
     ///
-    /// Only the same side process can know. One that has not seen the call records that it must not
-    /// run, and declines; one that has sends the parts from the first that is missing.
-    fn recover(&mut self) -> Outcome {
-        self.link.detach(self.job.call);
-        while self.resumes < RESUMES && Instant::now() < self.until {
+    /// Only the same side process knows the status. If it has not received the call, it records
+    /// that the call must not run, and declines it; otherwise it sends the parts from the first
+    /// missing one.
+    fn resume(&mut self) -> Outcome {
+        self.link.detach(self.attempt.call);
+        while self.resumes < MAX_RESUMES && Instant::now() < self.give_up_at {
             self.resumes += 1;
             self.shared.meter.add("resumes", "", 1);
-            let link = self.shared.links.get(&self.job.address);
+            let link = self.shared.links.get(&self.attempt.address);
             if let Ok(link) = link {
                 if link.peer.session != self.session {
-                    self.link.attach(self.job.call, self.sender.clone());
+                    self.link.attach(self.attempt.call, self.sender.clone());
                     return Outcome::Lost;
                 }
                 self.link = link.clone();
                 *self.shared_link.lock().unwrap_or_else(PoisonError::into_inner) =
                     Some(link.clone());
-                link.attach(self.job.call, self.sender.clone());
-                let (number, next) = (self.job.call, self.next);
+                link.attach(self.attempt.call, self.sender.clone());
+                let (number, next) = (self.attempt.call, self.next_part);
                 let (expires, session) = (self.expires, self.session);
                 if link.send(wire::Resume { number, next, expires, session }.into()) {
-                    return self.exchange();
+                    return self.receive();
                 }
-                link.detach(self.job.call);
+                link.detach(self.attempt.call);
             }
             std::thread::park_timeout(RESUME_PAUSE);
         }
-        self.link.attach(self.job.call, self.sender.clone());
+        self.link.attach(self.attempt.call, self.sender.clone());
         Outcome::Lost
     }
 
-    /// Takes one frame; gives the outcome if it is the last.
-    fn take(&mut self, kind: Kind) -> Option<Outcome> {
+    /// Handles a frame. Returns the outcome if the exchange has ended.
+    fn handle_frame(&mut self, kind: Kind) -> Option<Outcome> {
         match kind {
             Kind::Accepted(_) => self.send_body(),
             Kind::BodyAck(ack) => {
-                self.body_taken = self.body_taken.max(ack.taken);
+                self.body_acked = self.body_acked.max(ack.taken);
                 None
             }
             Kind::Declined(declined) => {
-                let why = Decline::from_number(declined.why).unwrap_or(Decline::Busy);
-                Some(Outcome::Declined(why, declined.load))
+                let reason = Decline::from_number(declined.why).unwrap_or(Decline::Busy);
+                Some(Outcome::Declined(reason, declined.load))
             }
-            Kind::Head(head) if self.next == 0 => {
-                self.next = 1;
+            Kind::Head(head) if self.next_part == 0 => {
+                self.next_part = 1;
                 self.status = head.status as u16;
                 self.headers = front::from_wire(head.headers);
                 None
             }
-            Kind::Part(part) if part.sequence == self.next => {
-                self.next += 1;
-                self.pass_on(&part.data)
+            Kind::Part(part) if part.sequence == self.next_part => {
+                self.next_part += 1;
+                self.forward(&part.data)
             }
-            // Twice: it was sent again after a resume.
+            // A duplicate, sent again after a resume.
             Kind::Head(_) => None,
-            Kind::Part(part) if part.sequence < self.next => None,
-            Kind::Part(_) => Some(self.recover()),
+            Kind::Part(part) if part.sequence < self.next_part => None,
+            Kind::Part(_) => Some(self.resume()),
             Kind::End(end) if !end.whole => Some(Outcome::Lost),
-            Kind::End(end) if end.sequence == self.next && self.next > 0 => {
-                Some(Outcome::Whole { load: end.load })
+            Kind::End(end) if end.sequence == self.next_part && self.next_part > 0 => {
+                Some(Outcome::Complete { load: end.load })
             }
-            Kind::End(_) => Some(self.recover()),
-            Kind::Cancelled(cancelled) => self.cancelled(cancelled.answer),
+            Kind::End(_) => Some(self.resume()),
+            Kind::Cancelled(cancelled) => self.handle_cancelled(cancelled.answer),
             _ => None,
         }
     }
 
-    /// What the side says to a cancellation, or to a question about a call that it has finished.
-    fn cancelled(&mut self, answer: u32) -> Option<Outcome> {
+    /// Handles the side's reply to a cancellation, or to a resume of a call whose response it does
+    /// not have.
+    fn handle_cancelled(&mut self, answer: u32) -> Option<Outcome> {
         let answer = match answer {
             0 => CancelAnswer::NotRun,
             1 => CancelAnswer::Ran,
@@ -375,7 +385,7 @@
         if self.resumes > 0 && answer != CancelAnswer::NotRun {
             return Some(Outcome::Lost);
         }
-        self.shared.event(Event::Cancelled(self.job.id, self.job.call, answer));
+        self.shared.event(Event::Cancelled(self.attempt.id, self.attempt.call, answer));
         None
     }
 
@@ -384,111 +394,118 @@
             return None;
         }
         self.body_sent = true;
-        let mut held = self.held.take()?;
-        let outcome = match &mut held.body {
-            HeldBody::Whole(body) => {
+        let mut pending = self.pending.take()?;
+        let outcome = match &mut pending.body {
+            RequestBody::Complete(body) => {
                 let body = body.clone();
                 self.send_parts(&mut body.as_slice())
             }
-            HeldBody::Unread(_) => self.send_parts(&mut held.request.as_reader()),
+            RequestBody::Unread(_) => self.send_parts(&mut pending.request.as_reader()),
         };
-        self.held = Some(held);
+        self.pending = Some(pending);
         outcome
     }
 
-    /// Sends the body in parts, no more than a window ahead of what the endpoint has taken.
+    /// Sends the body in parts. At most a window of parts is unacknowledged by the endpoint.
     fn send_parts(&mut self, reader: &mut dyn Read) -> Option<Outcome> {
-        let mut buffer = vec![0; BODY_PART];
+        let mut buffer = vec![0; BODY_PART_BYTES];
         loop {
-            let Ok(count) = reader.read(&mut buffer) else { return Some(Outcome::CallerGone) };
+            let Ok(count) = reader.read(&mut buffer) else {
+                return Some(Outcome::CallerDisconnected);
+            };
             let data = Bytes::copy_from_slice(&buffer[..count]);
-            let (number, sequence, last) = (self.job.call, self.body_parts, count == 0);
+            let (number, sequence, last) = (self.attempt.call, self.body_parts, count == 0);
             self.body_parts += 1;
             if !self.link.send(wire::Body { number, sequence, data, last }.into()) {
-                // A body cannot be read twice from its caller: what became of the call is open.
+                // The body cannot be read again from the caller, and the call's outcome is unknown.
                 return Some(Outcome::Lost);
             }
             if last {
                 return None;
             }
-            while self.body_parts - self.body_taken >= WINDOW {
-                match self.receiver.recv_timeout(TURN) {
+            while self.body_parts - self.body_acked >= WINDOW {
+                match self.receiver.recv_timeout(POLL_INTERVAL) {
                     Ok(CallMessage::Frame(Kind::BodyAck(ack))) => {
-                        self.body_taken = self.body_taken.max(ack.taken);
+                        self.body_acked = self.body_acked.max(ack.taken);
                     }
-                    // An answer that comes before the body's end: the endpoint has heard enough.
+                    // A response before the end of the body: the endpoint does not need the rest.
                     Ok(CallMessage::Frame(kind)) => {
-                        if let Some(outcome) = self.take(kind) {
+                        if let Some(outcome) = self.handle_frame(kind) {
                             return Some(outcome);
                         }
-                        if self.next > 0 {
+                        if self.next_part > 0 {
                             return None;
                         }
                     }
                     Ok(CallMessage::Refuse(refusal)) => return Some(Outcome::Refused(refusal)),
-                    Ok(CallMessage::Broken) => return Some(Outcome::Lost),
+                    Ok(CallMessage::Disconnected) => return Some(Outcome::Lost),
                     Err(_) if self.link.is_dead() => return Some(Outcome::Lost),
-                    Err(_) if Instant::now() > self.until => return Some(Outcome::Lost),
+                    Err(_) if Instant::now() > self.give_up_at => return Some(Outcome::Lost),
                     Err(_) => {}
                 }
             }
         }
     }
 
-    /// Passes a part of the answer on to the caller, or holds it back if it is not a stream.
-    fn pass_on(&mut self, data: &[u8]) -> Option<Outcome> {
-        if let Some(kept) = self.kept.as_mut().filter(|kept| kept.len() <= ANSWER_LIMIT) {
-            kept.extend_from_slice(data);
+    /// Forwards a part of the response to the caller, or buffers it if the response is not a
+    /// stream.
+    fn forward(&mut self, data: &[u8]) -> Option<Outcome> {
+        if let Some(replay_body) =
+            self.replay_body.as_mut().filter(|replay_body| replay_body.len() <= ANSWER_LIMIT)
+        {
+            replay_body.extend_from_slice(data);
         }
-        if self.next - self.acked > WINDOW / 4 {
-            self.acked = self.next;
-            let (number, taken) = (self.job.call, self.next);
+        if self.next_part - self.acked_parts > WINDOW / 4 {
+            self.acked_parts = self.next_part;
+            let (number, taken) = (self.attempt.call, self.next_part);
             self.link.send(wire::PartAck { number, taken }.into());
         }
-        let events = self.held.as_ref().is_some_and(|held| held.events);
-        let hold = !events && self.buffer.len() + data.len() <= HOLD_LIMIT;
-        if self.answer.is_none() && hold {
+        let event_stream = self.pending.as_ref().is_some_and(|pending| pending.event_stream);
+        let keep_buffering = !event_stream && self.buffer.len() + data.len() <= BUFFER_LIMIT;
+        if self.response.is_none() && keep_buffering {
             self.buffer.extend_from_slice(data);
             return None;
         }
-        if self.answer.is_none() && self.begin().is_err() {
-            return Some(Outcome::CallerGone);
+        if self.response.is_none() && self.begin_response().is_err() {
+            return Some(Outcome::CallerDisconnected);
         }
-        let written = self.answer.as_mut().map(|answer| answer.part(data));
-        matches!(written, Some(Err(_))).then_some(Outcome::CallerGone)
+        let written = self.response.as_mut().map(|response| response.part(data));
+        matches!(written, Some(Err(_))).then_some(Outcome::CallerDisconnected)
     }
 
-    /// Begins the answer to the caller: from now on it cannot be refused any more.
-    fn begin(&mut self) -> std::io::Result<()> {
-        let Some(held) = self.held.take() else { return Ok(()) };
-        self.shared.meter.time("first_part", held.arrived.elapsed().as_micros() as u64);
-        self.shared.event(Event::Began(self.job.id, self.job.call));
-        let mut answer = Answer::begin(held.request, self.status, &self.headers)?;
+    /// Begins the response to the caller. The request cannot be refused after that.
+    fn begin_response(&mut self) -> std::io::Result<()> {
+        let Some(pending) = self.pending.take() else { return Ok(()) };
+        self.shared.meter.record_time("first_part", pending.arrived.elapsed().as_micros() as u64);
+        self.shared.event(Event::Began(self.attempt.id, self.attempt.call));
+        let mut response = Answer::begin(pending.request, self.status, &self.headers)?;
         if !self.buffer.is_empty() {
-            answer.part(&std::mem::take(&mut self.buffer))?;
+            response.part(&std::mem::take(&mut self.buffer))?;
         }
-        self.answer = Some(answer);
+        self.response = Some(response);
         Ok(())
     }
 
     fn finish(mut self, load: u32) {
-        let (id, call) = (self.job.id, self.job.call);
-        let (number, taken) = (self.job.call, self.next + 1);
+        let (id, call) = (self.attempt.id, self.attempt.call);
+        let (number, taken) = (self.attempt.call, self.next_part + 1);
         self.link.send(wire::PartAck { number, taken }.into());
         let content_type =
             self.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-type"));
         let content_type = content_type.map_or(String::new(), |header| header.value.clone());
-        let written = match (self.answer.take(), self.held.take()) {
-            (Some(answer), _) => answer.end(),
-            (None, Some(held)) => {
-                self.shared.meter.time("first_part", held.arrived.elapsed().as_micros() as u64);
-                respond(held.request, self.status, &self.headers, &self.buffer)
+        let written = match (self.response.take(), self.pending.take()) {
+            (Some(response), _) => response.end(),
+            (None, Some(pending)) => {
+                self.shared
+                    .meter
+                    .record_time("first_part", pending.arrived.elapsed().as_micros() as u64);
+                respond(pending.request, self.status, &self.headers, &self.buffer)
             }
             (None, None) => Ok(()),
         };
-        self.forget();
+        self.unregister();
         self.shared.meter.add("answers", if written.is_ok() { "whole" } else { "unread" }, 1);
-        let answer = self.kept.take().map(|body| KeptAnswer {
+        let answer = self.replay_body.take().map(|body| StoredAnswer {
             status: self.status,
             content_type,
             body: (body.len() <= ANSWER_LIMIT).then_some(body),
@@ -496,51 +513,52 @@
         self.shared.event(Event::Ended { id, call, load, answer });
     }
 
-    /// Tells the control thread that the call's fate is unknown. A caller that has seen a part of
-    /// the answer sees it cut; one that has seen nothing may be served elsewhere or is refused.
-    fn lose(mut self) {
-        let (id, call) = (self.job.id, self.job.call);
-        if let Some(answer) = self.answer.take() {
-            self.forget();
+    /// Reports to the control thread that the call's outcome is unknown. If the caller has received
+    /// a part of the response, the response is aborted; otherwise the control thread retries the
+    /// request on another endpoint or refuses it.
+    fn handle_lost(mut self) {
+        let (id, call) = (self.attempt.id, self.attempt.call);
+        if let Some(response) = self.response.take() {
+            self.unregister();
             let kind = RefusalKind::Lost;
-            front::cut(answer, &Refusal { kind, ran: Ran::Yes, retry_ms: None });
-        } else if self.spent() {
-            self.give_back();
+            front::abort(response, &Refusal { kind, ran: Ran::Yes, retry_ms: None });
+        } else if self.body_consumed() {
+            self.return_request();
             return self.shared.event(Event::Spent(id, call, Ran::Unknown));
         } else {
-            self.give_back();
+            self.return_request();
         }
         self.shared.event(Event::Lost(id, call));
     }
 
-    /// Whether a part of a body that can be read only once was read.
-    fn spent(&self) -> bool {
-        let unread = |held: &Held| matches!(held.body, HeldBody::Unread(_));
-        self.body_parts > 0 && self.held.as_ref().is_some_and(unread)
+    /// Returns whether a part of a body that can be read only once has been read.
+    fn body_consumed(&self) -> bool {
+        let unread = |pending: &PendingRequest| matches!(pending.body, RequestBody::Unread(_));
+        self.body_parts > 0 && self.pending.as_ref().is_some_and(unread)
     }
 
     fn refuse(mut self, refusal: &Refusal) {
-        match (self.answer.take(), self.held.take()) {
-            (Some(answer), _) => front::cut(answer, refusal),
-            (None, Some(held)) => drop(front::refuse(held.request, refusal)),
+        match (self.response.take(), self.pending.take()) {
+            (Some(response), _) => front::abort(response, refusal),
+            (None, Some(pending)) => drop(front::refuse(pending.request, refusal)),
             (None, None) => {}
         }
     }
 
     fn cancel(&self) {
-        let (number, expires, session) = (self.job.call, self.expires, self.session);
+        let (number, expires, session) = (self.attempt.call, self.expires, self.session);
         self.link.send(wire::Cancel { number, expires, session }.into());
     }
 
-    fn forget(&self) {
-        self.shared.active().remove(&self.job.id);
+    fn unregister(&self) {
+        self.shared.exchanges().remove(&self.attempt.id);
     }
 
-    /// Puts the request back where the control thread finds it.
-    fn give_back(&mut self) {
-        if let Some(held) = self.held.take() {
-            self.shared.held().insert(self.job.id, held);
+    /// Returns the request to the map of pending requests, for the control thread.
+    fn return_request(&mut self) {
+        if let Some(pending) = self.pending.take() {
+            self.shared.pending().insert(self.attempt.id, pending);
         }
-        self.forget();
+        self.unregister();
     }
 }
--- a/crates/runtime/src/entry/mod.rs
+++ b/crates/runtime/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! An entry process: callers' connections, the control thread and the connections to peers.
+//! An entry process: caller connections, the control thread and connections to peers.
 
 mod control;
 mod dump;
@@ -24,8 +24,8 @@
 use crossbeam::channel::{Sender, bounded};
 use tiny_http::Server;
 
-pub(crate) use self::peers::{TOLD, class_of, rows_frame};
-use self::{control::Control, exchange::Active, intake::Held, peers::PeerSink};
+pub(crate) use self::peers::{UNSOLICITED, class_from_number, rows_frame};
+use self::{control::Control, exchange::ExchangeHandle, intake::PendingRequest, peers::PeerSink};
 use crate::{
     clock::Clock,
     connect::{Links, PeerListener, listen},
@@ -35,18 +35,18 @@
     pool::{Pool, spawn, stop_later},
 };
 
-/// Threads that take in callers' requests.
+/// Number of threads that receive callers' requests.
 const INTAKE_THREADS: usize = 8;
-/// Threads that wait for the platform.
+/// Number of threads that call the platform.
 const PLATFORM_THREADS: usize = 4;
-/// Threads that write short answers and short frames.
+/// Number of threads that write short responses and frames.
 const SENDER_THREADS: usize = 6;
-/// Events that wait for the control thread.
+/// Maximum number of inputs queued for the control thread.
 const INPUT_QUEUE: usize = 65_536;
-/// How often the platform's list is read.
-const LIST_PAUSE: Duration = Duration::from_secs(2);
+/// Interval at which the platform's list of instances is read.
+const LIST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What an entry process works with beyond its settings.
+/// What an entry process needs besides its settings.
 pub struct EntryOptions {
     /// The platform's table.
     pub table: Arc<dyn Table>,
@@ -54,30 +54,31 @@
     pub objects: Arc<dyn Objects>,
     /// The platform's list of instances.
     pub instances: Arc<dyn Instances>,
-    /// The rules that vary.
+    /// The policies of the reducer.
     pub policies: Policies,
 }
 
-/// What the control thread is told.
+/// An input of the control thread.
 pub(crate) enum Input {
-    /// An event of the reducer.
+    /// An event for the reducer.
     Event(Event),
-    /// A peer asks for the state.
+    /// A peer requests the state dump.
     Dump(Arc<Link>),
-    /// A peer asks for the text of a version.
-    Text(Arc<Link>, u64),
-    /// A child asks for rows; its question's id.
-    Pull(Arc<Link>, u64, u64),
-    /// The time for a planned stop is over.
+    /// A peer requests the configuration of a version.
+    ConfigRequest(Arc<Link>, u64),
+    /// A child in the feed tree requests the rows after a sequence number: the request's id, and
+    /// that number.
+    FeedPull(Arc<Link>, u64, u64),
+    /// The time limit of a planned stop has passed.
     Stop,
 }
 
-/// What the threads of an entry share.
+/// The state that the threads of an entry share.
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
     pub(crate) input: Sender<Input>,
-    pub(crate) held: Mutex<HashMap<RequestId, Held>>,
-    pub(crate) active: Mutex<HashMap<RequestId, Active>>,
+    pub(crate) pending: Mutex<HashMap<RequestId, PendingRequest>>,
+    pub(crate) exchanges: Mutex<HashMap<RequestId, ExchangeHandle>>,
     pub(crate) links: Links,
     pub(crate) meter: Arc<Meter>,
     pub(crate) senders: Pool,
@@ -93,12 +94,12 @@
         let _ = self.input.send(Input::Event(event));
     }
 
-    pub(crate) fn held(&self) -> MutexGuard<'_, HashMap<RequestId, Held>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn pending(&self) -> MutexGuard<'_, HashMap<RequestId, PendingRequest>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn active(&self) -> MutexGuard<'_, HashMap<RequestId, Active>> {
-        self.active.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn exchanges(&self) -> MutexGuard<'_, HashMap<RequestId, ExchangeHandle>> {
+        self.exchanges.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -115,10 +116,10 @@
 }
 
 impl EntryProcess {
-    /// Starts an entry; it serves as soon as it knows a text.
+    /// Starts an entry. It serves requests once it has a configuration.
     ///
     /// # Errors
-    /// An address cannot be listened on, or a thread cannot be started.
+    /// The process cannot listen on an address, or cannot start a thread.
     pub fn start(settings: &EntrySettings, options: EntryOptions) -> Result<Self, StartError> {
         let common = &settings.common;
         let listener = bind(common.listen)?;
@@ -141,8 +142,8 @@
         let shared = Arc::new(Shared {
             clock,
             input: input.clone(),
-            held: Mutex::default(),
-            active: Mutex::default(),
+            pending: Mutex::default(),
+            exchanges: Mutex::default(),
             links: Links::new(context.clone(), sink.clone()),
             meter,
             senders: Pool::new("sender", SENDER_THREADS)?,
@@ -186,17 +187,18 @@
         })
     }
 
-    /// Where callers reach the process.
+    /// Returns the address for callers.
     pub fn http_address(&self) -> SocketAddr {
         self.http
     }
 
-    /// Where peers reach the process.
+    /// Returns the address for peers.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Begins a planned stop: nothing new is taken, what is there is finished or refused in time.
+    /// Begins a planned stop: new requests are refused, and open ones are finished or refused
+    /// before the time limit.
     pub fn drain(&self) {
         let _ = self.input.send(Input::Event(Event::Drain));
         stop_later(&self.input, self.stop_after, Input::Stop);
@@ -220,15 +222,15 @@
     }
 }
 
-/// Parts that an organisation's share is divided into; docs/decisions/0003-shares.md has the
-/// measurement.
+/// Number of parts that an organisation's share is divided into; for the measurement see
+/// docs/decisions/0003-shares.md.
 const SHARE_PARTS: u32 = 4;
 
 pub(crate) fn bind(address: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address).map_err(|source| StartError::Listen { address, source })
 }
 
-/// Reads the platform's list again and again.
+/// Reads the platform's list of instances periodically and passes it to the control thread.
 fn watch_instances(
     instances: Arc<dyn Instances>,
     input: Sender<Input>,
@@ -237,12 +239,12 @@
     spawn("instances", move || {
         while !stop.load(Ordering::Acquire) {
             if let Ok(list) = instances.list() {
-                let list = list.into_iter().map(peers::listed).collect();
+                let list = list.into_iter().map(peers::to_listed).collect();
                 if input.send(Input::Event(Event::Instances(list))).is_err() {
                     break;
                 }
             }
-            std::thread::park_timeout(LIST_PAUSE);
+            std::thread::park_timeout(LIST_INTERVAL);
         }
     })?;
     Ok(())
--- a/crates/runtime/src/entry/peers.rs
+++ b/crates/runtime/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Frames from other processes, turned into events.
+//! Conversion of frames from other processes into inputs of the control thread.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use super::Input;
 use crate::link::{FrameSink, Link};
 
-/// Turns peers' frames into the control thread's inputs.
+/// Converts peers' frames into inputs of the control thread.
 pub(super) struct PeerSink {
     input: Sender<Input>,
 }
@@ -22,34 +22,38 @@
         PeerSink { input }
     }
 
-    /// The input that a frame means, if it may come from this peer.
-    fn input_of(link: &Arc<Link>, kind: Kind) -> Option<Input> {
-        let entry = link.peer.role == PeerRole::Entry;
+    /// Returns the input for a frame, if the peer's role allows that frame.
+    fn to_input(link: &Arc<Link>, kind: Kind) -> Option<Input> {
+        let from_entry = link.peer.role == PeerRole::Entry;
         let input = match kind {
-            Kind::Demand(demand) if entry => Input::Event(Event::Demand(Demand {
+            Kind::Demand(demand) if from_entry => Input::Event(Event::Demand(Demand {
                 from: demand.from,
                 model: demand.model,
                 waiting: demand.waiting,
                 slack_ms: demand.slack_ms,
-                class: class_of(demand.class),
+                class: class_from_number(demand.class),
             })),
-            Kind::Verdict(verdict) if entry && verdict.kind == HEARD => {
+            Kind::Verdict(verdict) if from_entry && verdict.kind == DEMAND_ACKED => {
                 Input::Event(Event::Heard(verdict.model))
             }
-            Kind::Verdict(verdict) if entry => {
-                let kind = verdict_kind(verdict.kind)?;
+            Kind::Verdict(verdict) if from_entry => {
+                let kind = refusal_kind(verdict.kind)?;
                 Input::Event(Event::Verdict { model: verdict.model, kind })
             }
-            Kind::FeedPull(pull) if entry => Input::Pull(link.clone(), pull.id, pull.since),
-            Kind::FeedRows(rows) if rows.id == TOLD && link.peer.role != PeerRole::Operator => {
-                Input::Event(Event::Told(page_of(rows).rows))
+            Kind::FeedPull(pull) if from_entry => {
+                Input::FeedPull(link.clone(), pull.id, pull.since)
             }
-            Kind::FeedRows(rows) if entry => {
+            Kind::FeedRows(rows)
+                if rows.id == UNSOLICITED && link.peer.role != PeerRole::Operator =>
+            {
+                Input::Event(Event::Told(to_page(rows).rows))
+            }
+            Kind::FeedRows(rows) if from_entry => {
                 let id = rows.id;
-                Input::Event(Event::Fed(id, Some(page_of(rows))))
+                Input::Event(Event::Fed(id, Some(to_page(rows))))
             }
-            Kind::TextPull(pull) if entry => Input::Text(link.clone(), pull.version),
-            Kind::TextReply(reply) if entry => {
+            Kind::TextPull(pull) if from_entry => Input::ConfigRequest(link.clone(), pull.version),
+            Kind::TextReply(reply) if from_entry => {
                 Input::Event(Event::Text { version: reply.version, text: reply.text? })
             }
             Kind::Dump(_) => Input::Dump(link.clone()),
@@ -64,7 +68,7 @@
         if let Some(number) = call_number(&kind) {
             return link.route(number, kind);
         }
-        if let Some(input) = PeerSink::input_of(link, kind) {
+        if let Some(input) = PeerSink::to_input(link, kind) {
             let _ = self.input.send(input);
         }
     }
@@ -72,7 +76,7 @@
     fn closed(&self, _: &Arc<Link>) {}
 }
 
-/// The call that a side's frame belongs to.
+/// Returns the number of the call that a side's frame belongs to.
 fn call_number(kind: &Kind) -> Option<u64> {
     match kind {
         Kind::Accepted(frame) => Some(frame.number),
@@ -94,7 +98,7 @@
     }
 }
 
-pub(crate) fn class_of(number: u32) -> Class {
+pub(crate) fn class_from_number(number: u32) -> Class {
     match number {
         0 => Class::Urgent,
         1 => Class::Normal,
@@ -102,7 +106,7 @@
     }
 }
 
-pub(super) fn verdict_number(kind: RefusalKind) -> u32 {
+pub(super) fn refusal_number(kind: RefusalKind) -> u32 {
     match kind {
         RefusalKind::ShareUsed => 0,
         RefusalKind::PoolFull => 1,
@@ -110,10 +114,10 @@
     }
 }
 
-/// A verdict's number that is none yet: the demand was heard.
-pub(super) const HEARD: u32 = 3;
+/// The number in a reply that acknowledges a demand and refuses nothing.
+pub(super) const DEMAND_ACKED: u32 = 3;
 
-fn verdict_kind(number: u32) -> Option<RefusalKind> {
+fn refusal_kind(number: u32) -> Option<RefusalKind> {
     match number {
         0 => Some(RefusalKind::ShareUsed),
         1 => Some(RefusalKind::PoolFull),
@@ -122,10 +126,10 @@
     }
 }
 
-/// The id of rows that nobody asked for: they are handed on ahead of the feed.
-pub(crate) const TOLD: u64 = 0;
+/// The id of rows that were not requested: they are sent directly, ahead of the feed.
+pub(crate) const UNSOLICITED: u64 = 0;
 
-fn page_of(rows: wire::FeedRows) -> Page {
+fn to_page(rows: wire::FeedRows) -> Page {
     let row = |row: wire::FeedRow| Row { key: row.key, version: row.version, body: row.body };
     Page {
         rows: rows.rows.into_iter().map(row).collect(),
@@ -144,7 +148,7 @@
     }
 }
 
-pub(super) fn listed(instance: Instance) -> Listed {
+pub(super) fn to_listed(instance: Instance) -> Listed {
     Listed {
         peer: Peer { name: instance.name, address: instance.address, zone: instance.zone },
         entry: instance.role == Role::Entry,
--- a/crates/runtime/src/error.rs
+++ b/crates/runtime/src/error.rs
@@ -1,18 +1,18 @@
-//! Why a process could not start.
+//! The error type for a failed process start.
 
 use std::{io, net::SocketAddr};
 
 use thiserror::Error;
 
-/// Why a process could not start.
+/// An error that keeps a process from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address could not be listened on.
+    /// The process cannot listen on an address.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The HTTP server did not start.
@@ -20,7 +20,7 @@
     Http {
         /// The address.
         address: SocketAddr,
-        /// What the library said.
+        /// The error of the HTTP library.
         reason: String,
     },
     /// A thread could not be started.
--- a/crates/runtime/src/front.rs
+++ b/crates/runtime/src/front.rs
@@ -1,4 +1,4 @@
-//! Refusals and cut answers, as callers see them.
+//! Refusals and aborted responses as callers receive them, and the conversion of headers.
 
 use std::io;
 
@@ -8,7 +8,7 @@
 
 use crate::json::refusal_problem;
 
-/// Writes a refusal.
+/// Responds to a request with a refusal.
 pub(crate) fn refuse(request: Request, refusal: &Refusal) -> io::Result<()> {
     let mut headers = vec![Header::new("Content-Type", "application/problem+json")];
     if let Some(millis) = refusal.retry_ms {
@@ -18,20 +18,22 @@
     respond(request, refusal.kind.status(), &headers, body.as_bytes())
 }
 
-/// Ends an answer of which the caller has seen a part: an error event, and no end mark.
-pub(crate) fn cut(mut answer: Answer, refusal: &Refusal) {
+/// Aborts a response of which the caller has received a part: writes an error event and no
+/// terminating chunk.
+pub(crate) fn abort(mut response: Answer, refusal: &Refusal) {
     let event = format!("event: error\ndata: {}\n\n", refusal_problem(refusal));
-    let _ = answer.part(event.as_bytes());
-    answer.cut();
+    let _ = response.part(event.as_bytes());
+    response.cut();
 }
 
-/// Headers as they go between processes.
+/// Converts headers to their form in messages between processes.
 pub(crate) fn to_wire(headers: impl IntoIterator<Item = Header>) -> Vec<citronrill_wire::Header> {
-    let convert = |it: Header| citronrill_wire::Header { name: it.name, value: it.value };
+    let convert =
+        |header: Header| citronrill_wire::Header { name: header.name, value: header.value };
     headers.into_iter().map(convert).collect()
 }
 
-/// Headers as they come from another process.
+/// Converts headers from a message of another process.
 pub(crate) fn from_wire(headers: Vec<citronrill_wire::Header>) -> Vec<Header> {
-    headers.into_iter().map(|it| Header { name: it.name, value: it.value }).collect()
+    headers.into_iter().map(|header| Header { name: header.name, value: header.value }).collect()
 }
--- a/crates/runtime/src/json.rs
+++ b/crates/runtime/src/json.rs
@@ -1,19 +1,19 @@
-//! What an entry reads of a request's JSON, and the JSON that it writes itself.
+//! The fields that an entry reads from a request's JSON, and the JSON documents that it writes.
 
 use citronrill_base::hash_bytes;
 use citronrill_decide::{Ran, Refusal};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Characters of the first message that count as a prompt's beginning.
+/// Number of characters at the start of the prompt that go into the prefix hash.
 const PREFIX_CHARS: usize = 512;
 
-/// The parts of a chat or completion request that decide where it goes.
+/// The fields of a chat or completion request that determine its routing.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ModelRequest {
     /// The model's name.
     pub(crate) model: String,
-    /// Whether the answer is to be streamed.
+    /// Whether the response is to be streamed.
     #[serde(default)]
     pub(crate) stream: Option<bool>,
     #[serde(default)]
@@ -23,8 +23,9 @@
 }
 
 impl ModelRequest {
-    /// A hash of the prompt's beginning, by which an engine's prefix cache is met again.
-    pub(crate) fn prefix(&self) -> u64 {
+    /// Returns a hash of the start of the prompt. Routing prefers an engine that has served the
+    /// same hash, whose prefix cache may contain the prompt's start.
+    pub(crate) fn prefix_hash(&self) -> u64 {
         let first = match self.messages.first() {
             Some(message) => message["content"].to_string(),
             None => self.prompt.to_string(),
@@ -34,21 +35,21 @@
     }
 }
 
-/// A problem's document, with the error object that OpenAI's clients read.
+/// Returns a problem document (RFC 9457) with the error object that OpenAI clients read.
 pub(crate) fn problem(
-    word: &str,
+    code: &str,
     status: u16,
     detail: &str,
     ran: Ran,
     retry: Option<u64>,
 ) -> String {
     let mut document = json!({
-        "type": format!("urn:citronrill:problem:{word}"),
-        "title": word,
+        "type": format!("urn:citronrill:problem:{code}"),
+        "title": code,
         "status": status,
         "detail": detail,
         "ran": ran,
-        "error": { "message": detail, "type": word, "code": word },
+        "error": { "message": detail, "type": code, "code": code },
     });
     if let Some(millis) = retry {
         document["retry_after_ms"] = json!(millis);
@@ -56,18 +57,18 @@
     document.to_string()
 }
 
-/// A refusal's document.
+/// Returns the problem document of a refusal.
 pub(crate) fn refusal_problem(refusal: &Refusal) -> String {
-    let word = refusal.kind.word();
+    let code = refusal.kind.word();
     let detail = match refusal.ran {
-        Ran::No => format!("{word}: the call did not run"),
-        Ran::Unknown => format!("{word}: it is not known whether the call ran"),
-        Ran::Yes => format!("{word}: the call ran, but its answer is not whole"),
+        Ran::No => format!("{code}: the call did not run"),
+        Ran::Unknown => format!("{code}: it is not known whether the call ran"),
+        Ran::Yes => format!("{code}: the call ran, but its answer is not whole"),
     };
-    problem(word, refusal.kind.status(), &detail, refusal.ran, refusal.retry_ms)
+    problem(code, refusal.kind.status(), &detail, refusal.ran, refusal.retry_ms)
 }
 
-/// The list of an organisation's models.
+/// Returns the response that lists an organisation's models.
 pub(crate) fn model_list(names: &[String]) -> String {
     let entry =
         |name| json!({ "id": name, "object": "model", "created": 0, "owned_by": "citronrill" });
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,8 +1,8 @@
 //! Threads, sockets and timers that carry out the reducers' effects.
 //!
-//! One thread of a process owns its reducer and sees every event. Others carry bytes between
-//! callers, processes and endpoints, or wait for the platform. They talk over channels, and a task
-//! ends when its channel is closed.
+//! One thread of a process, the control thread, owns the reducer and feeds it every event. Other
+//! threads transfer bytes between callers, processes and endpoints, or block on calls to the
+//! platform. Threads communicate over channels and exit when their channel is closed.
 
 mod apply;
 mod clock;
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -1,8 +1,8 @@
-//! One framed connection between two own processes.
+//! A framed connection between two processes of the deployment.
 //!
-//! Connections can go silent for good while new ones work: something between the ends has lost
-//! track of them, and nothing ever arrives, not even a reset. The opener therefore pings, and gives
-//! the connection up when no frame has come for [`SILENCE`] while one was due.
+//! A connection can stop delivering data for good while new connections work: a middlebox has lost
+//! its state, and nothing arrives, not even a reset. The opener therefore sends pings, and closes
+//! the connection when no frame has arrived for [`SILENCE_TIMEOUT`] while one was due.
 
 use std::{
     collections::HashMap,
@@ -23,34 +23,34 @@
 
 use crate::{clock::Clock, meter::Meter, pool::spawn};
 
-/// A connection on which a frame was due for this long is dead.
-pub(crate) const SILENCE: Duration = Duration::from_millis(2_500);
-/// How often the opener pings while it waits for something.
-const PING_BUSY: Duration = Duration::from_millis(800);
-/// How often the opener pings an idle connection.
-const PING_IDLE: Duration = Duration::from_secs(10);
-/// An accepted connection without a frame for this long is dead.
-const ACCEPTED_SILENCE: Duration = Duration::from_secs(35);
-/// An opened connection that nobody uses is closed after this time.
-const IDLE: Duration = Duration::from_secs(60);
-const CONNECT: Duration = Duration::from_millis(600);
-const HANDSHAKE: Duration = Duration::from_millis(1_500);
-/// How often the threads of a connection look around.
-const TURN: Duration = Duration::from_millis(400);
-/// Frames that wait to be written.
-const QUEUE: usize = 1_024;
-/// Bytes written at once.
-const BATCH: usize = 64 << 10;
+/// An opened connection is dead if a frame has been due for this long. Also the limit for a write.
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Interval of the opener's pings while calls are attached.
+const BUSY_PING_INTERVAL: Duration = Duration::from_millis(800);
+/// Interval of the opener's pings on an idle connection.
+const IDLE_PING_INTERVAL: Duration = Duration::from_secs(10);
+/// An accepted connection is dead if no frame has arrived for this long.
+const ACCEPTED_TIMEOUT: Duration = Duration::from_secs(35);
+/// An opened connection is closed when it has been unused for this long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How often the threads of a connection check its state.
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum number of frames queued for writing.
+const QUEUE_FRAMES: usize = 1_024;
+/// Frames are batched into one write up to this size, in bytes.
+const BATCH_BYTES: usize = 64 << 10;
 
-/// Takes the frames of a connection.
+/// Receives the frames of a connection.
 pub(crate) trait FrameSink: Send + Sync {
-    /// A frame has come.
+    /// Called for each frame that arrives.
     fn frame(&self, link: &Arc<Link>, kind: Kind);
-    /// The connection is dead.
+    /// Called when the connection is dead.
     fn closed(&self, link: &Arc<Link>);
 }
 
-/// What every connection of a process needs.
+/// The data that all connections of a process share.
 #[derive(Clone)]
 pub(crate) struct LinkContext {
     pub(crate) secret: Arc<str>,
@@ -59,18 +59,18 @@
     pub(crate) meter: Arc<Meter>,
 }
 
-/// What a call's thread is told.
+/// A message to the thread of a call.
 #[derive(Debug)]
 pub(crate) enum CallMessage {
     /// A frame of the call.
     Frame(Kind),
     /// The connection is dead.
-    Broken,
-    /// The control thread refuses the request.
+    Disconnected,
+    /// The control thread has refused the request.
     Refuse(citronrill_decide::Refusal),
 }
 
-/// One framed connection.
+/// A framed connection.
 pub(crate) struct Link {
     pub(crate) peer: Peer,
     sender: Sender<Frame>,
@@ -78,10 +78,10 @@
     dead: AtomicBool,
     opener: bool,
     opened: Instant,
-    heard: AtomicU64,
-    due: AtomicU64,
-    used: AtomicU64,
-    waiting: AtomicUsize,
+    last_received: AtomicU64,
+    due_since: AtomicU64,
+    last_used: AtomicU64,
+    attached: AtomicUsize,
     remote_clock: Mutex<Option<(u64, Instant)>>,
     calls: Mutex<HashMap<u64, Sender<CallMessage>>>,
 }
@@ -93,11 +93,11 @@
         context: &LinkContext,
         sink: Arc<dyn FrameSink>,
     ) -> Result<Arc<Link>, WireError> {
-        let stream = TcpStream::connect_timeout(&address, CONNECT)?;
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         Link::start(stream, context, sink, true)
     }
 
-    /// Takes an accepted connection.
+    /// Performs the handshake on an accepted connection.
     pub(crate) fn accept(
         stream: TcpStream,
         context: &LinkContext,
@@ -113,13 +113,13 @@
         opener: bool,
     ) -> Result<Arc<Link>, WireError> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(HANDSHAKE))?;
-        stream.set_write_timeout(Some(SILENCE))?;
+        stream.set_read_timeout(Some(HANDSHAKE_TIMEOUT))?;
+        stream.set_write_timeout(Some(SILENCE_TIMEOUT))?;
         let mut reader = FrameReader::new(stream.try_clone()?);
         let handshake = Handshake::new(&context.secret, &context.identity, opener);
         let peer = handshake.run(&mut reader, &mut stream.try_clone()?)?;
-        stream.set_read_timeout(Some(TURN))?;
-        let (sender, receiver) = bounded(QUEUE);
+        stream.set_read_timeout(Some(POLL_INTERVAL))?;
+        let (sender, receiver) = bounded(QUEUE_FRAMES);
         let link = Arc::new(Link {
             peer,
             sender,
@@ -127,10 +127,10 @@
             dead: AtomicBool::new(false),
             opener,
             opened: Instant::now(),
-            heard: AtomicU64::new(0),
-            due: AtomicU64::new(u64::MAX),
-            used: AtomicU64::new(0),
-            waiting: AtomicUsize::new(0),
+            last_received: AtomicU64::new(0),
+            due_since: AtomicU64::new(u64::MAX),
+            last_used: AtomicU64::new(0),
+            attached: AtomicUsize::new(0),
             remote_clock: Mutex::new(None),
             calls: Mutex::new(HashMap::new()),
         });
@@ -144,27 +144,27 @@
         Ok(link)
     }
 
-    fn millis(&self) -> u64 {
+    fn elapsed_ms(&self) -> u64 {
         self.opened.elapsed().as_millis() as u64
     }
 
-    /// Queues a frame; `false` if the connection is dead.
+    /// Queues a frame. Returns `false` if the connection is dead or the queue stays full.
     pub(crate) fn send(&self, frame: Frame) -> bool {
-        self.used.store(self.millis(), Ordering::Relaxed);
-        !self.is_dead() && self.sender.send_timeout(frame, SILENCE).is_ok()
+        self.last_used.store(self.elapsed_ms(), Ordering::Relaxed);
+        !self.is_dead() && self.sender.send_timeout(frame, SILENCE_TIMEOUT).is_ok()
     }
 
     pub(crate) fn is_dead(&self) -> bool {
         self.dead.load(Ordering::Acquire)
     }
 
-    /// Ends the connection and its threads.
+    /// Closes the connection, which ends its threads, and notifies the attached calls.
     pub(crate) fn close(&self) {
         if !self.dead.swap(true, Ordering::AcqRel) {
             let _ = self.stream.shutdown(Shutdown::Both);
             let calls = std::mem::take(&mut *self.calls());
             for sender in calls.into_values() {
-                let _ = sender.try_send(CallMessage::Broken);
+                let _ = sender.try_send(CallMessage::Disconnected);
             }
         }
     }
@@ -173,41 +173,42 @@
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has the frames of call `number` sent to `sender`; `false` if the connection is dead.
+    /// Delivers the frames of call `number` to `sender`. Returns `false` if the connection is dead.
     pub(crate) fn attach(&self, number: u64, sender: Sender<CallMessage>) -> bool {
         self.calls().insert(number, sender);
-        self.waiting.fetch_add(1, Ordering::AcqRel);
+        self.attached.fetch_add(1, Ordering::AcqRel);
         !self.is_dead()
     }
 
-    /// Ends [`Link::attach`].
+    /// Ends the delivery that [`Link::attach`] has started.
     pub(crate) fn detach(&self, number: u64) {
         self.calls().remove(&number);
-        self.waiting.fetch_sub(1, Ordering::AcqRel);
+        self.attached.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Hands a frame to its call's thread. A frame of a call that is over is dropped: numbers are
-    /// never used again, so a late or crossed answer finds nobody.
+    /// Delivers a frame to its call's thread. A frame of a call that has ended is dropped. Call
+    /// numbers are never reused, so a late frame cannot reach another call.
     pub(crate) fn route(&self, number: u64, kind: Kind) {
         let sender = self.calls().get(&number).cloned();
         if let Some(sender) = sender
             && sender.try_send(CallMessage::Frame(kind)).is_err()
         {
-            // The window keeps an honest peer from this; one that overruns it is cut off.
+            // A peer that respects the window cannot fill the queue; one that overruns it is
+            // disconnected.
             self.close();
         }
     }
 
-    /// The peer's clock now, in its milliseconds, or a little less: never more.
+    /// Returns a lower bound of the peer's clock, in milliseconds.
     ///
-    /// The reading took some time to get here, which is counted as if it had taken none. A deadline
-    /// worked out from it therefore comes early at the peer and not late.
+    /// The time that the reading took to arrive is not added. A deadline computed from it can
+    /// therefore be early on the peer's clock, but never late.
     pub(crate) fn remote_now(&self) -> Option<u64> {
         let reading = *self.remote_clock.lock().unwrap_or_else(PoisonError::into_inner);
         reading.map(|(clock, at)| clock + at.elapsed().as_millis() as u64)
     }
 
-    fn note_clock(&self, clock: u64) {
+    fn set_remote_clock(&self, clock: u64) {
         let mut reading = self.remote_clock.lock().unwrap_or_else(PoisonError::into_inner);
         *reading = Some((clock, Instant::now()));
     }
@@ -216,10 +217,10 @@
         let mut last_ping = Instant::now();
         let mut buffer = BytesMut::new();
         while !self.is_dead() {
-            match receiver.recv_timeout(TURN) {
+            match receiver.recv_timeout(POLL_INTERVAL) {
                 Ok(frame) => {
                     let _ = encode(&frame, &mut buffer);
-                    while buffer.len() < BATCH
+                    while buffer.len() < BATCH_BYTES
                         && let Ok(frame) = receiver.try_recv()
                     {
                         let _ = encode(&frame, &mut buffer);
@@ -229,13 +230,13 @@
                 Err(RecvTimeoutError::Disconnected) => break,
             }
             if self.opener {
-                let busy = self.waiting.load(Ordering::Acquire) > 0;
-                let pause = if busy { PING_BUSY } else { PING_IDLE };
+                let busy = self.attached.load(Ordering::Acquire) > 0;
+                let pause = if busy { BUSY_PING_INTERVAL } else { IDLE_PING_INTERVAL };
                 if last_ping.elapsed() >= pause {
                     last_ping = Instant::now();
                     let _ = encode(&Ping {}.into(), &mut buffer);
-                    let now = self.millis();
-                    let _ = self.due.compare_exchange(
+                    let now = self.elapsed_ms();
+                    let _ = self.due_since.compare_exchange(
                         u64::MAX,
                         now,
                         Ordering::AcqRel,
@@ -244,7 +245,7 @@
                 }
             }
             if !buffer.is_empty() {
-                meter.bytes(buffer.len() as u64, 0);
+                meter.add_bytes(buffer.len() as u64, 0);
                 if (&self.stream).write_all(&buffer).is_err() {
                     break;
                 }
@@ -260,18 +261,18 @@
         context: &LinkContext,
         sink: &dyn FrameSink,
     ) {
-        let mut counted = 0;
+        let mut counted_bytes = 0;
         while !self.is_dead() {
             match reader.next_frame() {
                 Ok(kind) => {
-                    self.heard.store(self.millis(), Ordering::Release);
-                    self.due.store(u64::MAX, Ordering::Release);
-                    context.meter.bytes(0, reader.bytes() - counted);
-                    counted = reader.bytes();
-                    self.take(kind, context, sink);
+                    self.last_received.store(self.elapsed_ms(), Ordering::Release);
+                    self.due_since.store(u64::MAX, Ordering::Release);
+                    context.meter.add_bytes(0, reader.bytes() - counted_bytes);
+                    counted_bytes = reader.bytes();
+                    self.handle_frame(kind, context, sink);
                 }
                 Err(WireError::Io(error)) if is_timeout(&error) => {
-                    if self.silent() {
+                    if self.is_expired() {
                         break;
                     }
                 }
@@ -282,27 +283,28 @@
         sink.closed(&self);
     }
 
-    fn take(self: &Arc<Link>, kind: Kind, context: &LinkContext, sink: &dyn FrameSink) {
+    fn handle_frame(self: &Arc<Link>, kind: Kind, context: &LinkContext, sink: &dyn FrameSink) {
         match kind {
             Kind::Ping(_) => {
                 let _ = self.sender.try_send(Pong { clock: context.clock.now().0 }.into());
             }
-            Kind::Pong(pong) => self.note_clock(pong.clock),
+            Kind::Pong(pong) => self.set_remote_clock(pong.clock),
             kind => sink.frame(self, kind),
         }
     }
 
-    /// Whether the connection has been silent for too long, or unused.
-    fn silent(&self) -> bool {
-        let now = Duration::from_millis(self.millis());
-        let since =
+    /// Returns whether the connection has been silent or unused for too long.
+    fn is_expired(&self) -> bool {
+        let now = Duration::from_millis(self.elapsed_ms());
+        let elapsed_since =
             |at: &AtomicU64| now.saturating_sub(Duration::from_millis(at.load(Ordering::Acquire)));
         if !self.opener {
-            return since(&self.heard) >= ACCEPTED_SILENCE;
+            return elapsed_since(&self.last_received) >= ACCEPTED_TIMEOUT;
         }
-        let due = self.due.load(Ordering::Acquire);
-        let overdue = due != u64::MAX && since(&self.due) >= SILENCE;
-        let unused = self.waiting.load(Ordering::Acquire) == 0 && since(&self.used) >= IDLE;
+        let due = self.due_since.load(Ordering::Acquire);
+        let overdue = due != u64::MAX && elapsed_since(&self.due_since) >= SILENCE_TIMEOUT;
+        let unused = self.attached.load(Ordering::Acquire) == 0
+            && elapsed_since(&self.last_used) >= IDLE_TIMEOUT;
         overdue || unused
     }
 }
--- a/crates/runtime/src/meter.rs
+++ b/crates/runtime/src/meter.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one process.
+//! Counters and histograms of a process.
 
 use std::{
     collections::BTreeMap,
@@ -11,46 +11,46 @@
 
 use hdrhistogram::Histogram;
 
-/// The longest time that a histogram tells apart, in microseconds.
-const LONGEST_US: u64 = 3_600_000_000;
-/// Significant digits of a histogram.
+/// Upper bound of a histogram, in microseconds; longer times are recorded as this value.
+const MAX_TIME_US: u64 = 3_600_000_000;
+/// Number of significant decimal digits that a histogram keeps.
 const DIGITS: u8 = 2;
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 
-/// Counts what a process does.
+/// The counters and histograms of a process.
 #[derive(Debug, Default)]
 pub(crate) struct Meter {
     counters: Mutex<BTreeMap<(&'static str, &'static str), u64>>,
     times: Mutex<BTreeMap<&'static str, Histogram<u64>>>,
-    sent: AtomicU64,
-    received: AtomicU64,
+    sent_bytes: AtomicU64,
+    received_bytes: AtomicU64,
 }
 
 impl Meter {
-    /// Adds to a counter; `label` is empty for a counter without labels.
+    /// Adds `count` to a counter. `label` is empty for a counter without labels.
     pub(crate) fn add(&self, name: &'static str, label: &'static str, count: u64) {
         let mut counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
         *counters.entry((name, label)).or_default() += count;
     }
 
-    /// Records a time in microseconds.
-    pub(crate) fn time(&self, name: &'static str, micros: u64) {
+    /// Records a time, in microseconds, in a histogram.
+    pub(crate) fn record_time(&self, name: &'static str, micros: u64) {
         let mut times = self.times.lock().unwrap_or_else(PoisonError::into_inner);
         let histogram = times.entry(name);
         let histogram = histogram.or_insert_with(|| {
-            Histogram::new_with_bounds(1, LONGEST_US, DIGITS)
+            Histogram::new_with_bounds(1, MAX_TIME_US, DIGITS)
                 .unwrap_or_else(|_| unreachable!("constant bounds"))
         });
         histogram.saturating_record(micros.max(1));
     }
 
-    /// Counts bytes of control traffic between own processes.
-    pub(crate) fn bytes(&self, sent: u64, received: u64) {
-        self.sent.fetch_add(sent, Ordering::Relaxed);
-        self.received.fetch_add(received, Ordering::Relaxed);
+    /// Counts bytes sent to and received from other processes of the deployment.
+    pub(crate) fn add_bytes(&self, sent_bytes: u64, received_bytes: u64) {
+        self.sent_bytes.fetch_add(sent_bytes, Ordering::Relaxed);
+        self.received_bytes.fetch_add(received_bytes, Ordering::Relaxed);
     }
 
-    /// All counters, for dumps.
+    /// Returns all counters, for state dumps.
     pub(crate) fn snapshot(&self) -> BTreeMap<String, u64> {
         let counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
         let mut all = counters
@@ -60,12 +60,12 @@
                 label => (format!("{name}.{label}"), *count),
             })
             .collect::<BTreeMap<_, _>>();
-        all.insert("wire_sent_bytes".to_owned(), self.sent.load(Ordering::Relaxed));
-        all.insert("wire_received_bytes".to_owned(), self.received.load(Ordering::Relaxed));
+        all.insert("wire_sent_bytes".to_owned(), self.sent_bytes.load(Ordering::Relaxed));
+        all.insert("wire_received_bytes".to_owned(), self.received_bytes.load(Ordering::Relaxed));
         all
     }
 
-    /// All counters and histograms as Prometheus text, with the gauges that the caller adds.
+    /// Returns all counters and histograms, and the given gauges, in the Prometheus text format.
     pub(crate) fn render(&self, gauges: &[(&str, u64)]) -> String {
         let mut text = String::new();
         for (name, value) in gauges {
@@ -85,7 +85,7 @@
         }
         drop(counters);
         for (name, value) in
-            [("wire_sent_bytes", &self.sent), ("wire_received_bytes", &self.received)]
+            [("wire_sent_bytes", &self.sent_bytes), ("wire_received_bytes", &self.received_bytes)]
         {
             let value = value.load(Ordering::Relaxed);
             let _ = writeln!(text, "# TYPE citronrill_{name}_total counter");
--- a/crates/runtime/src/pool.rs
+++ b/crates/runtime/src/pool.rs
@@ -1,4 +1,4 @@
-//! Worker threads behind a channel; closing the channel ends them.
+//! A pool of worker threads that take jobs from a channel and exit when it is closed.
 
 use std::{io, thread, time::Duration};
 
@@ -6,21 +6,21 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Jobs that wait at most; beyond it the sender gets the job back.
-const QUEUE: usize = 16_384;
-/// Stack of a worker, in bytes: none of them recurses or keeps large values on it.
-const STACK: usize = 256 << 10;
+/// Maximum number of queued jobs; further jobs are rejected.
+const QUEUE_LIMIT: usize = 16_384;
+/// Stack size of a thread, in bytes. No thread recurses or keeps large values on its stack.
+const STACK_BYTES: usize = 256 << 10;
 
-/// Threads that carry out jobs.
+/// A fixed number of threads that run jobs.
 #[derive(Clone)]
 pub(crate) struct Pool {
     sender: Sender<Job>,
 }
 
 impl Pool {
-    /// A pool of `size` threads.
+    /// Starts a pool of `size` threads.
     pub(crate) fn new(name: &str, size: usize) -> io::Result<Pool> {
-        let (sender, receiver) = bounded::<Job>(QUEUE);
+        let (sender, receiver) = bounded::<Job>(QUEUE_LIMIT);
         for index in 0..size {
             let receiver: Receiver<Job> = receiver.clone();
             spawn(&format!("{name}-{index}"), move || {
@@ -30,13 +30,13 @@
         Ok(Pool { sender })
     }
 
-    /// Hands a job over; `false` if too many wait, and then it is not carried out.
+    /// Queues a job. Returns `false` if the queue is full; the job is then dropped.
     pub(crate) fn run(&self, job: impl FnOnce() + Send + 'static) -> bool {
         self.sender.try_send(Box::new(job)).is_ok()
     }
 }
 
-/// Sends `stop` after a while: the limit of a planned stop.
+/// Sends `stop` after the delay `after`, to limit the duration of a planned stop.
 pub(crate) fn stop_later<I: Send + 'static>(input: &Sender<I>, after: Duration, stop: I) {
     let input = input.clone();
     let _ = spawn("stop-limit", move || {
@@ -50,5 +50,5 @@
     name: &str,
     work: impl FnOnce() + Send + 'static,
 ) -> io::Result<thread::JoinHandle<()>> {
-    thread::Builder::new().name(name.to_owned()).stack_size(STACK).spawn(work)
+    thread::Builder::new().name(name.to_owned()).stack_size(STACK_BYTES).spawn(work)
 }
--- a/crates/runtime/src/side/calls.rs
+++ b/crates/runtime/src/side/calls.rs
@@ -1,4 +1,5 @@
-//! Calls that are offered, run and answered, with the parts that an entry may ask for again.
+//! The calls of a side: offered, running and finished ones, with the response parts that an entry
+//! can request again.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -15,192 +16,197 @@
 };
 use bytes::Bytes;
 use citronrill_decide::{CallId, Decline};
-use citronrill_http::{Header, passes};
+use citronrill_http::{Header, is_forwarded};
 use citronrill_wire::{self as wire, Call, Frame};
 use crossbeam::channel::{Receiver, Sender, bounded};
 
 use super::WINDOW;
 use crate::{clock::Clock, front, link::Link, meter::Meter, pool::spawn};
 
-/// Bytes of an answer in one part.
-const PART: usize = 16 << 10;
-/// How long the end of an answer is kept for an entry that asks again.
-const KEEP: Duration = Duration::from_secs(20);
-/// How long a full window is waited for before the entry counts as gone.
-const STALL: Duration = Duration::from_secs(30);
-/// An endpoint that is silent for this long past the call's deadline is given up.
-const OVERTIME: Duration = Duration::from_secs(5);
-const CONNECT: Duration = Duration::from_millis(1_000);
-/// Questions of entries whose answer is not given yet, at most.
-const ASKED_LIMIT: usize = 4_096;
-
-/// The calls that a side has in hand.
+/// Bytes of a response per part.
+const PART_BYTES: usize = 16 << 10;
+/// How long unacknowledged parts of a finished response are kept for an entry that resumes.
+const RETENTION: Duration = Duration::from_secs(20);
+/// The entry is considered gone if the window stays full, or the next part of a request body is
+/// missing, for this long.
+const STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// The read from an endpoint times out this long after the call's deadline.
+const DEADLINE_GRACE: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum number of cancellations without a reply yet.
+const CANCEL_LIMIT: usize = 4_096;
+
+/// The calls of a side, by id.
 pub(super) struct Exchanges {
     target: SocketAddr,
     clock: Clock,
     meter: Arc<Meter>,
-    all: Mutex<HashMap<CallId, Arc<Exchange>>>,
-    asked: Mutex<HashMap<CallId, Arc<Link>>>,
+    by_id: Mutex<HashMap<CallId, Arc<Exchange>>>,
+    cancels: Mutex<HashMap<CallId, Arc<Link>>>,
 }
 
 struct Exchange {
     number: u64,
-    state: Mutex<State>,
-    room: Condvar,
+    state: Mutex<ExchangeState>,
+    window_open: Condvar,
     body: Sender<wire::Body>,
 }
 
-struct State {
+struct ExchangeState {
     call: Option<Call>,
-    bodies: Option<Receiver<wire::Body>>,
+    body_parts: Option<Receiver<wire::Body>>,
     link: Arc<Link>,
     parts: VecDeque<Frame>,
-    first: u64,
-    next: u64,
+    first_unacked: u64,
+    next_part: u64,
     running: bool,
     ended: Option<Instant>,
-    stop: bool,
+    stopped: bool,
 }
 
 impl Exchange {
     fn new(link: &Arc<Link>, call: Call) -> Exchange {
-        let (body, bodies) = bounded(WINDOW as usize + 2);
+        let (body, body_parts) = bounded(WINDOW as usize + 2);
         let number = call.number;
-        let state = State {
+        let state = ExchangeState {
             call: Some(call),
-            bodies: Some(bodies),
+            body_parts: Some(body_parts),
             link: link.clone(),
             parts: VecDeque::new(),
-            first: 0,
-            next: 0,
+            first_unacked: 0,
+            next_part: 0,
             running: false,
             ended: None,
-            stop: false,
+            stopped: false,
         };
-        Exchange { number, state: Mutex::new(state), room: Condvar::new(), body }
+        Exchange { number, state: Mutex::new(state), window_open: Condvar::new(), body }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, ExchangeState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps and sends the next part; `false` if the call is to be stopped.
+    /// Stores and sends the next part. Blocks while the window is full. Returns `false` if the call
+    /// is to be stopped.
     fn push(&self, part: impl FnOnce(u64) -> Frame) -> bool {
         let begun = Instant::now();
         let mut state = self.lock();
-        while state.next - state.first >= WINDOW && !state.stop {
-            if begun.elapsed() >= STALL {
-                state.stop = true;
+        while state.next_part - state.first_unacked >= WINDOW && !state.stopped {
+            if begun.elapsed() >= STALL_TIMEOUT {
+                state.stopped = true;
             }
-            let waited = self.room.wait_timeout(state, Duration::from_millis(500));
+            let waited = self.window_open.wait_timeout(state, Duration::from_millis(500));
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
-        if state.stop {
+        if state.stopped {
             return false;
         }
-        let frame = part(state.next);
-        state.next += 1;
+        let frame = part(state.next_part);
+        state.next_part += 1;
         state.parts.push_back(frame.clone());
         state.link.send(frame);
         true
     }
 
-    fn acked(&self, taken: u64) {
+    fn acknowledge(&self, taken: u64) {
         let mut state = self.lock();
-        while state.first < taken.min(state.next) {
+        while state.first_unacked < taken.min(state.next_part) {
             state.parts.pop_front();
-            state.first += 1;
+            state.first_unacked += 1;
         }
-        self.room.notify_all();
+        self.window_open.notify_all();
     }
 
-    /// Goes on over another connection, from part `next`; `false` if those parts are gone.
-    fn resume(&self, link: &Arc<Link>, next: u64) -> bool {
-        self.acked(next);
+    /// Resumes over another connection, from part `next_part`. Returns `false` if that part is no
+    /// longer stored.
+    fn resume(&self, link: &Arc<Link>, next_part: u64) -> bool {
+        self.acknowledge(next_part);
         let mut state = self.lock();
-        if next < state.first {
+        if next_part < state.first_unacked {
             return false;
         }
         state.link = link.clone();
-        for frame in state.parts.iter().skip((next - state.first) as usize) {
+        for frame in state.parts.iter().skip((next_part - state.first_unacked) as usize) {
             link.send(frame.clone());
         }
         true
     }
 
     fn stopped(&self) -> bool {
-        self.lock().stop
+        self.lock().stopped
     }
 
     fn stop(&self) {
-        self.lock().stop = true;
-        self.room.notify_all();
+        self.lock().stopped = true;
+        self.window_open.notify_all();
     }
 }
 
 impl Exchanges {
     pub(super) fn new(target: SocketAddr, clock: Clock, meter: Arc<Meter>) -> Exchanges {
-        Exchanges { target, clock, meter, all: Mutex::default(), asked: Mutex::default() }
+        Exchanges { target, clock, meter, by_id: Mutex::default(), cancels: Mutex::default() }
     }
 
     pub(super) fn meter(&self) -> &Meter {
         &self.meter
     }
 
-    fn all(&self) -> MutexGuard<'_, HashMap<CallId, Arc<Exchange>>> {
-        self.all.lock().unwrap_or_else(PoisonError::into_inner)
+    fn by_id(&self) -> MutexGuard<'_, HashMap<CallId, Arc<Exchange>>> {
+        self.by_id.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn get(&self, id: CallId) -> Option<Arc<Exchange>> {
-        self.all().get(&id).cloned()
+        self.by_id().get(&id).cloned()
     }
 
-    /// Keeps an offered call's content until the control thread has decided. A copy of a frame that
-    /// has come before changes nothing.
-    pub(super) fn offered(&self, link: &Arc<Link>, id: CallId, call: Call) {
-        let mut all = self.all();
-        all.entry(id).or_insert_with(|| Arc::new(Exchange::new(link, call)));
+    /// Stores an offered call until the control thread has decided on it. A duplicate of an earlier
+    /// frame changes nothing.
+    pub(super) fn add_offer(&self, link: &Arc<Link>, id: CallId, call: Call) {
+        let mut by_id = self.by_id();
+        by_id.entry(id).or_insert_with(|| Arc::new(Exchange::new(link, call)));
     }
 
-    pub(super) fn body(&self, id: CallId, body: wire::Body) {
+    pub(super) fn push_body(&self, id: CallId, body: wire::Body) {
         if let Some(exchange) = self.get(id) {
-            // An honest entry keeps to the window; what overruns it is dropped and the gap seen.
+            // An entry that respects the window cannot fill the queue. Excess parts are dropped,
+            // and the gap in the sequence is detected.
             let _ = exchange.body.try_send(body);
         }
     }
 
-    pub(super) fn acked(&self, id: CallId, taken: u64) {
+    pub(super) fn acknowledge(&self, id: CallId, taken: u64) {
         if let Some(exchange) = self.get(id) {
-            exchange.acked(taken);
+            exchange.acknowledge(taken);
         }
     }
 
-    /// Remembers who asked for a cancellation.
-    pub(super) fn asked(&self, id: CallId, link: &Arc<Link>) {
-        let mut asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        if asked.len() < ASKED_LIMIT {
-            asked.insert(id, link.clone());
+    /// Records the connection to which the reply to a cancellation is sent.
+    pub(super) fn add_cancel(&self, id: CallId, link: &Arc<Link>) {
+        let mut cancels = self.cancels.lock().unwrap_or_else(PoisonError::into_inner);
+        if cancels.len() < CANCEL_LIMIT {
+            cancels.insert(id, link.clone());
         }
     }
 
-    pub(super) fn cancelled(&self, id: CallId, answer: u32) {
-        let link = self.asked.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
+    pub(super) fn answer_cancel(&self, id: CallId, answer: u32) {
+        let link = self.cancels.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
         if let Some(link) = link {
             link.send(wire::Cancelled { number: id.number, answer }.into());
         }
     }
 
-    /// Lets an entry go on with a call over another connection; `false` if the call is not known
-    /// here or its parts are gone.
-    pub(super) fn resume(&self, id: CallId, link: &Arc<Link>, next: u64) -> bool {
+    /// Resumes a call over another connection of its entry. Returns `false` if the call is unknown
+    /// or its parts are no longer stored.
+    pub(super) fn resume(&self, id: CallId, link: &Arc<Link>, next_part: u64) -> bool {
         let exchange = self.get(id).filter(|exchange| {
             let state = exchange.lock();
             state.running || state.ended.is_some()
         });
-        exchange.is_some_and(|exchange| exchange.resume(link, next))
+        exchange.is_some_and(|exchange| exchange.resume(link, next_part))
     }
 
-    /// A call was offered again that runs or has run: its parts go where it came from last.
+    /// Confirms a call that was offered again while it runs or after it has run. Its parts still go
+    /// to the connection of the first offer or of the last resume.
     pub(super) fn attach(&self, id: CallId) {
         if let Some(exchange) = self.get(id) {
             let state = exchange.lock();
@@ -209,7 +215,7 @@
     }
 
     pub(super) fn decline(&self, id: CallId, why: Decline, load: u32) {
-        if let Some(exchange) = self.all().remove(&id) {
+        if let Some(exchange) = self.by_id().remove(&id) {
             let why = why.number();
             exchange.lock().link.send(wire::Declined { number: id.number, why, load }.into());
         }
@@ -221,38 +227,39 @@
         }
     }
 
-    /// Stops all calls, as the process ends.
+    /// Stops all calls when the process ends.
     pub(super) fn close(&self) {
-        let all = std::mem::take(&mut *self.all());
-        for exchange in all.into_values() {
+        let by_id = std::mem::take(&mut *self.by_id());
+        for exchange in by_id.into_values() {
             exchange.stop();
         }
     }
 
-    /// Drops answers that nobody has asked for again in time.
-    pub(super) fn sweep(&self) {
-        self.all().retain(|_, exchange| {
+    /// Removes finished calls whose parts are all acknowledged or older than the retention time.
+    pub(super) fn remove_expired(&self) {
+        self.by_id().retain(|_, exchange| {
             let state = exchange.lock();
-            let over =
-                state.ended.is_some_and(|at| state.first == state.next || at.elapsed() >= KEEP);
-            !over
+            let expired = state.ended.is_some_and(|at| {
+                state.first_unacked == state.next_part || at.elapsed() >= RETENTION
+            });
+            !expired
         });
     }
 
-    /// Runs a call in a thread of its own.
+    /// Runs a call in a separate thread.
     pub(super) fn run(&self, id: CallId, load: u32, ended: impl FnOnce() + Send + 'static) {
         let Some(exchange) = self.get(id) else { return ended() };
         let content = {
             let mut state = exchange.lock();
             state.running = true;
             state.link.send(wire::Accepted { number: id.number }.into());
-            state.call.take().zip(state.bodies.take())
+            state.call.take().zip(state.body_parts.take())
         };
-        let Some((call, bodies)) = content else { return ended() };
+        let Some((call, body_parts)) = content else { return ended() };
         let slack = Duration::from_millis(call.expires.saturating_sub(self.clock.now().0));
-        let runner = Runner { exchange: exchange.clone(), target: self.target, slack, load };
+        let runner = CallRunner { exchange: exchange.clone(), target: self.target, slack, load };
         let started = spawn("call", move || {
-            runner.run(call, bodies);
+            runner.run(call, body_parts);
             ended();
         });
         if started.is_err() {
@@ -262,20 +269,20 @@
     }
 }
 
-/// One call at the endpoint.
-struct Runner {
+/// Runs a call at the endpoint.
+struct CallRunner {
     exchange: Arc<Exchange>,
     target: SocketAddr,
     slack: Duration,
     load: u32,
 }
 
-impl Runner {
-    fn run(&self, call: Call, bodies: Receiver<wire::Body>) {
+impl CallRunner {
+    fn run(&self, call: Call, body_parts: Receiver<wire::Body>) {
         let number = self.exchange.number;
-        let whole = match self.call_endpoint(call, bodies) {
-            Ok(response) => self.pass_on(response),
-            Err(error) if refused(&error) => return self.decline(),
+        let complete = match self.call_endpoint(call, body_parts) {
+            Ok(response) => self.forward(response),
+            Err(error) if connection_refused(&error) => return self.decline(),
             Err(error) => {
                 log::warn!("event=call_failed number={number} error=\"{error}\"");
                 false
@@ -283,23 +290,23 @@
         };
         let load = self.load;
         let mut state = self.exchange.lock();
-        // The end takes its place in the stream even when the window is full.
-        let sequence = state.next;
-        let frame: Frame = wire::End { number, sequence, whole, load }.into();
-        state.next += 1;
+        // The end frame takes its place in the sequence even if the window is full.
+        let sequence = state.next_part;
+        let frame: Frame = wire::End { number, sequence, whole: complete, load }.into();
+        state.next_part += 1;
         state.parts.push_back(frame.clone());
         state.link.send(frame);
         state.running = false;
         state.ended = Some(Instant::now());
     }
 
-    /// The endpoint takes no connection, so it has not seen the call.
+    /// Declines the call. The endpoint has refused the connection, so it has not received the call.
     fn decline(&self) {
         let mut state = self.exchange.lock();
         let why = Decline::EndpointDown.number();
         let (number, load) = (self.exchange.number, self.load);
         let frame: Frame = wire::Declined { number, why, load }.into();
-        state.next += 1;
+        state.next_part += 1;
         state.parts.push_back(frame.clone());
         state.link.send(frame);
         state.running = false;
@@ -309,34 +316,36 @@
     fn call_endpoint(
         &self,
         call: Call,
-        bodies: Receiver<wire::Body>,
+        body_parts: Receiver<wire::Body>,
     ) -> Result<Response, attohttpc::Error> {
         let url = format!("http://{}{}", self.target, call.path);
         let verb = Method::from_bytes(call.verb.as_bytes()).unwrap_or(Method::POST);
         let builder = RequestBuilder::new(verb, url).follow_redirects(false);
-        let builder = builder.connect_timeout(CONNECT).read_timeout(self.slack + OVERTIME);
+        let builder =
+            builder.connect_timeout(CONNECT_TIMEOUT).read_timeout(self.slack + DEADLINE_GRACE);
         let mut builder = builder.header("x-priority", call.class.to_string());
-        for it in call.headers.iter().filter(|it| passes(&it.name)) {
-            let name = HeaderName::from_bytes(it.name.as_bytes());
+        for header in call.headers.iter().filter(|header| is_forwarded(&header.name)) {
+            let name = HeaderName::from_bytes(header.name.as_bytes());
             if let Ok(name) = name {
-                builder = builder.try_header(name, &it.value)?;
+                builder = builder.try_header(name, &header.value)?;
             }
         }
         match (call.body, call.length) {
             (Some(body), _) => builder.bytes(body).send(),
             (None, length) => {
                 let exchange = self.exchange.clone();
-                builder.body(Streamed { exchange, bodies, length, next: 0 }).send()
+                builder.body(StreamedBody { exchange, body_parts, length, next_part: 0 }).send()
             }
         }
     }
 
-    /// Passes the endpoint's answer on as it comes; whether it was whole.
-    fn pass_on(&self, response: Response) -> bool {
+    /// Forwards the endpoint's response as it arrives. Returns whether it was complete.
+    fn forward(&self, response: Response) -> bool {
         let number = self.exchange.number;
         let (status, headers, mut reader) = response.split();
-        let expected = headers.get("content-length").and_then(|it| it.to_str().ok()?.parse().ok());
-        let headers = headers.iter().filter(|(name, _)| passes(name.as_str()));
+        let expected =
+            headers.get("content-length").and_then(|header| header.to_str().ok()?.parse().ok());
+        let headers = headers.iter().filter(|(name, _)| is_forwarded(name.as_str()));
         let headers = headers
             .filter_map(|(name, value)| Some(Header::new(name.as_str(), value.to_str().ok()?)));
         let headers = front::to_wire(headers);
@@ -344,7 +353,7 @@
         if !self.exchange.push(|_| wire::Head { number, status, headers }.into()) {
             return false;
         }
-        let (mut buffer, mut total) = (vec![0; PART], 0_u64);
+        let (mut buffer, mut total) = (vec![0; PART_BYTES], 0_u64);
         loop {
             match reader.read(&mut buffer) {
                 Ok(0) => return expected.is_none_or(|expected: u64| expected == total),
@@ -363,35 +372,35 @@
     }
 }
 
-/// Whether an error shows that the endpoint has seen nothing of the call.
-fn refused(error: &attohttpc::Error) -> bool {
+/// Returns whether an error shows that the endpoint has received nothing of the call.
+fn connection_refused(error: &attohttpc::Error) -> bool {
     matches!(error.kind(), ErrorKind::Io(error) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// A body that comes in frames.
-struct Streamed {
+/// A request body that arrives in frames.
+struct StreamedBody {
     exchange: Arc<Exchange>,
-    bodies: Receiver<wire::Body>,
+    body_parts: Receiver<wire::Body>,
     length: Option<u64>,
-    next: u64,
+    next_part: u64,
 }
 
-impl Body for Streamed {
+impl Body for StreamedBody {
     fn kind(&mut self) -> io::Result<BodyKind> {
         Ok(self.length.map_or(BodyKind::Chunked, BodyKind::KnownLength))
     }
 
     fn write<W: Write>(&mut self, mut writer: W) -> io::Result<()> {
         loop {
-            let body = self.bodies.recv_timeout(STALL);
+            let body = self.body_parts.recv_timeout(STALL_TIMEOUT);
             let body = body.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
-            if body.sequence != self.next || self.exchange.stopped() {
+            if body.sequence != self.next_part || self.exchange.stopped() {
                 return Err(io::ErrorKind::ConnectionAborted.into());
             }
-            self.next += 1;
+            self.next_part += 1;
             writer.write_all(&body.data)?;
             writer.flush()?;
-            let (number, taken) = (self.exchange.number, self.next);
+            let (number, taken) = (self.exchange.number, self.next_part);
             self.exchange.lock().link.send(wire::BodyAck { number, taken }.into());
             if body.last {
                 return Ok(());
--- a/crates/runtime/src/side/control.rs
+++ b/crates/runtime/src/side/control.rs
@@ -1,4 +1,4 @@
-//! The control thread of a side: the reducer's events in, its effects out.
+//! The control thread of a side: passes events to the reducer and carries out its effects.
 
 use std::{
     sync::Arc,
@@ -18,16 +18,16 @@
 use crate::{
     clock::Clock,
     connect::Links,
-    entry::{TOLD, rows_frame},
+    entry::{UNSOLICITED, rows_frame},
     link::Link,
     pool::Pool,
 };
 
-/// Time between two ticks of the reducer.
+/// Interval between two ticks of the reducer.
 const TICK: Duration = Duration::from_millis(100);
 
-/// What the control thread carries effects out with.
-pub(super) struct Outside {
+/// The services that the control thread uses to carry out effects.
+pub(super) struct Backends {
     pub(super) exchanges: Arc<Exchanges>,
     pub(super) engine: HttpEngine,
     pub(super) table: Arc<dyn Table>,
@@ -38,19 +38,19 @@
 pub(super) struct Control {
     side: Side,
     input: Sender<Input>,
-    outside: Outside,
+    backends: Backends,
     last_tick: Instant,
     busy: Duration,
     started: Instant,
 }
 
 impl Control {
-    pub(super) fn new(side: Side, input: Sender<Input>, outside: Outside) -> Control {
+    pub(super) fn new(side: Side, input: Sender<Input>, backends: Backends) -> Control {
         let now = Instant::now();
-        Control { side, input, outside, last_tick: now, busy: Duration::ZERO, started: now }
+        Control { side, input, backends, last_tick: now, busy: Duration::ZERO, started: now }
     }
 
-    /// Runs until the process is drained, superseded or told to stop.
+    /// Runs until the process is drained, superseded or stopped.
     pub(super) fn run(mut self, inputs: &Receiver<Input>, clock: Clock) {
         let mut effects = Vec::new();
         loop {
@@ -66,76 +66,76 @@
             if self.last_tick.elapsed() >= TICK {
                 self.last_tick = Instant::now();
                 self.side.step(clock.now(), SideEvent::Tick, &mut effects);
-                self.outside.exchanges.sweep();
+                self.backends.exchanges.remove_expired();
             }
-            let over = effects
+            let finished = effects
                 .iter()
                 .any(|effect| matches!(effect, SideEffect::Drained | SideEffect::Superseded));
             for effect in effects.drain(..) {
                 self.perform(effect);
             }
             self.busy += begun.elapsed();
-            if over {
+            if finished {
                 break;
             }
         }
-        self.outside.exchanges.close();
+        self.backends.exchanges.close();
         log::info!("event=stopped endpoint_epoch={}", self.side.epoch());
     }
 
     fn perform(&mut self, effect: SideEffect) {
         match effect {
             SideEffect::Read(id, keys) => {
-                self.outside.exchanges.meter().add("table_reads", "", 1);
-                let table = self.outside.table.clone();
-                self.ask(move || match table.read(&keys) {
+                self.backends.exchanges.meter().add("table_reads", "", 1);
+                let table = self.backends.table.clone();
+                self.query(move || match table.read(&keys) {
                     Ok(rows) => SideEvent::Rows(id, rows),
                     Err(_) => SideEvent::ReadFailed(id),
                 });
             }
             SideEffect::Commit(id, txn) => {
-                self.outside.exchanges.meter().add("table_commits", "", 1);
-                let table = self.outside.table.clone();
-                self.ask(move || SideEvent::Committed(id, table.commit(&txn)));
+                self.backends.exchanges.meter().add("table_commits", "", 1);
+                let table = self.backends.table.clone();
+                self.query(move || SideEvent::Committed(id, table.commit(&txn)));
             }
             SideEffect::ListEngine => {
-                let engine = self.outside.engine.clone();
-                self.ask(move || SideEvent::Engine(engine.state().ok().map(report)));
+                let engine = self.backends.engine.clone();
+                self.query(move || SideEvent::Engine(engine.state().ok().map(engine_report)));
             }
             SideEffect::Load { order, model, base, fence, memory_mb, peak_mb } => {
                 let order = LoadOrder { order, model, base, fence, memory_mb, peak_mb };
-                let engine = self.outside.engine.clone();
-                self.order(order.order, move || engine.load(&order));
+                let engine = self.backends.engine.clone();
+                self.send_order(order.order, move || engine.load(&order));
             }
             SideEffect::Unload { order, model, fence } => {
                 let order = UnloadOrder { order, model, fence };
-                let engine = self.outside.engine.clone();
-                self.order(order.order, move || engine.unload(&order));
+                let engine = self.backends.engine.clone();
+                self.send_order(order.order, move || engine.unload(&order));
             }
             SideEffect::Run(id) => {
                 let input = self.input.clone();
                 let ended = move || drop(input.send(Input::Event(SideEvent::Ended(id))));
-                self.outside.exchanges.run(id, self.side.running() as u32, ended);
+                self.backends.exchanges.run(id, self.side.running() as u32, ended);
             }
-            SideEffect::Attach(id) => self.outside.exchanges.attach(id),
+            SideEffect::Attach(id) => self.backends.exchanges.attach(id),
             SideEffect::Decline(id, why) => {
-                self.outside.exchanges.meter().add("declines", why.word(), 1);
-                self.outside.exchanges.decline(id, why, self.side.running() as u32);
+                self.backends.exchanges.meter().add("declines", why.word(), 1);
+                self.backends.exchanges.decline(id, why, self.side.running() as u32);
             }
-            SideEffect::Stop(id) => self.outside.exchanges.stop(id),
+            SideEffect::Stop(id) => self.backends.exchanges.stop(id),
             SideEffect::Cancelled(id, answer) => {
                 let answer = match answer {
                     CancelAnswer::NotRun => 0,
                     CancelAnswer::Ran => 1,
                     CancelAnswer::Unknown => 2,
                 };
-                self.outside.exchanges.cancelled(id, answer);
+                self.backends.exchanges.answer_cancel(id, answer);
             }
             SideEffect::Announce(to, row) => {
                 let page = Page { rows: vec![row], ..Page::default() };
-                let links = self.outside.links.clone();
-                self.outside.pool.run(move || {
-                    let _ = links.send(&to, rows_frame(TOLD, page).into());
+                let links = self.backends.links.clone();
+                self.backends.pool.run(move || {
+                    let _ = links.send(&to, rows_frame(UNSOLICITED, page).into());
                 });
             }
             SideEffect::Log(event) => log::info!("{event}"),
@@ -143,17 +143,21 @@
         }
     }
 
-    /// Asks the platform or the engine in another thread.
-    fn ask(&self, question: impl FnOnce() -> SideEvent + Send + 'static) {
+    /// Queries the platform or the engine in another thread.
+    fn query(&self, query: impl FnOnce() -> SideEvent + Send + 'static) {
         let input = self.input.clone();
-        self.outside.pool.run(move || drop(input.send(Input::Event(question()))));
+        self.backends.pool.run(move || drop(input.send(Input::Event(query()))));
     }
 
-    /// Gives an order in a thread of its own, as it may take as long as a load.
-    fn order(&self, order: u64, give: impl FnOnce() -> Result<(), PlatformError> + Send + 'static) {
+    /// Sends an order to the engine in a separate thread, as it can take as long as a load.
+    fn send_order(
+        &self,
+        order: u64,
+        send: impl FnOnce() -> Result<(), PlatformError> + Send + 'static,
+    ) {
         let input = self.input.clone();
         let started = crate::pool::spawn("order", move || {
-            let event = match give() {
+            let event = match send() {
                 Ok(()) => SideEvent::OrderDone { order, done: true },
                 Err(PlatformError::Status(status)) => {
                     log::warn!("event=order_refused order={order} status={status}");
@@ -188,22 +192,22 @@
             "held_mb": row.map_or(0, |row| row.held_mb()),
             "memory_mb": row.map_or(0, |row| row.memory_mb),
             "replicas": replicas.collect::<Vec<_>>(),
-            "counters": self.outside.exchanges.meter().snapshot(),
+            "counters": self.backends.exchanges.meter().snapshot(),
             "busy_part": self.busy.as_secs_f64() / self.started.elapsed().as_secs_f64().max(0.001),
         });
         link.send(wire::DumpReply { json: json.to_string() }.into());
     }
 }
 
-fn report(state: EngineState) -> EngineReport {
-    let held = state.held.into_iter().map(|it| HeldModel {
-        model: it.model,
-        ready: it.ready,
-        memory_mb: it.memory_mb,
+fn engine_report(state: EngineState) -> EngineReport {
+    let held = state.held.into_iter().map(|model| HeldModel {
+        model: model.model,
+        ready: model.ready,
+        memory_mb: model.memory_mb,
     });
-    let cached = state.cached.into_iter().map(|it| {
-        let tier = if it.ram { Tier::Ram } else { Tier::Disk };
-        Cached { model: it.model, tier: tier.into() }
+    let cached = state.cached.into_iter().map(|model| {
+        let tier = if model.ram { Tier::Ram } else { Tier::Disk };
+        Cached { model: model.model, tier: tier.into() }
     });
     EngineReport { held: held.collect(), cached: cached.collect() }
 }
--- a/crates/runtime/src/side/frames.rs
+++ b/crates/runtime/src/side/frames.rs
@@ -1,4 +1,4 @@
-//! Frames from entries, turned into events and exchanges.
+//! Conversion of frames from entries into events and operations on exchanges.
 
 use std::sync::Arc;
 
@@ -8,11 +8,11 @@
 
 use super::{Input, calls::Exchanges};
 use crate::{
-    entry::class_of,
+    entry::class_from_number,
     link::{FrameSink, Link},
 };
 
-/// Turns entries' frames into the control thread's inputs.
+/// Converts entries' frames into inputs of the control thread.
 pub(super) struct CallSink {
     input: Sender<Input>,
     exchanges: Arc<Exchanges>,
@@ -32,11 +32,11 @@
             id: CallId { session: link.peer.session, number: call.number },
             model: call.model.clone(),
             org: call.org.clone(),
-            class: class_of(call.class),
+            class: class_from_number(call.class),
             session: call.session,
             expires: call.expires,
         };
-        self.exchanges.offered(link, offer.id, call);
+        self.exchanges.add_offer(link, offer.id, call);
         self.event(SideEvent::Offer(offer));
     }
 }
@@ -51,18 +51,18 @@
             Kind::Dump(_) => drop(self.input.send(Input::Dump(link.clone()))),
             _ if link.peer.role != PeerRole::Entry => {}
             Kind::Call(call) => self.call(link, call),
-            Kind::Body(body) => self.exchanges.body(id(body.number), body),
-            Kind::PartAck(ack) => self.exchanges.acked(id(ack.number), ack.taken),
+            Kind::Body(body) => self.exchanges.push_body(id(body.number), body),
+            Kind::PartAck(ack) => self.exchanges.acknowledge(id(ack.number), ack.taken),
             Kind::Cancel(cancel) => {
                 let id = id(cancel.number);
-                self.exchanges.asked(id, link);
+                self.exchanges.add_cancel(id, link);
                 let (session, expires) = (cancel.session, cancel.expires);
                 self.event(SideEvent::Cancel { id, session, expires });
             }
             Kind::Resume(resume) => {
                 let id = id(resume.number);
                 if !self.exchanges.resume(id, link, resume.next) {
-                    self.exchanges.asked(id, link);
+                    self.exchanges.add_cancel(id, link);
                     let (session, expires) = (resume.session, resume.expires);
                     self.event(SideEvent::Cancel { id, session, expires });
                 }
--- a/crates/runtime/src/side/mod.rs
+++ b/crates/runtime/src/side/mod.rs
@@ -1,4 +1,4 @@
-//! A side process: the endpoint's ledger, its engine's orders and the calls that it runs.
+//! A side process: the endpoint's ledger, the orders to its engine and the calls that it runs.
 
 mod calls;
 mod control;
@@ -22,7 +22,7 @@
 
 use self::{
     calls::Exchanges,
-    control::{Control, Outside},
+    control::{Backends, Control},
     frames::CallSink,
 };
 use crate::{
@@ -35,15 +35,15 @@
     pool::{Pool, spawn, stop_later},
 };
 
-/// Parts of an answer or a body that may be on their way unconfirmed.
+/// Maximum number of unacknowledged parts of a response or of a request body.
 pub(crate) const WINDOW: u64 = 32;
-/// Threads that wait for the platform and the engine.
+/// Number of threads that call the platform and the engine.
 const PLATFORM_THREADS: usize = 6;
 const INPUT_QUEUE: usize = 16_384;
-/// How often the platform's list is looked at for the own instance.
-const LIST_PAUSE: Duration = Duration::from_secs(5);
+/// Interval at which the own instance is looked up in the platform's list.
+const LIST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a side process works with beyond its settings.
+/// What a side process needs besides its settings.
 pub struct SideOptions {
     /// The platform's table.
     pub table: Arc<dyn Table>,
@@ -51,13 +51,13 @@
     pub instances: Arc<dyn Instances>,
 }
 
-/// What the control thread is told.
+/// An input of the control thread.
 pub(crate) enum Input {
-    /// An event of the reducer.
+    /// An event for the reducer.
     Event(SideEvent),
-    /// A peer asks for the state.
+    /// A peer requests the state dump.
     Dump(Arc<Link>),
-    /// The time for a planned stop is over.
+    /// The time limit of a planned stop has passed.
     Stop,
 }
 
@@ -72,11 +72,11 @@
 }
 
 impl SideProcess {
-    /// Starts a side process; it takes calls once it owns its endpoint's row.
+    /// Starts a side process. It accepts calls once it owns its endpoint's row.
     ///
     /// # Errors
-    /// The address cannot be listened on, or a thread cannot be started. The address is the slot's:
-    /// a predecessor that still holds it keeps the successor out.
+    /// The process cannot listen on the address, or cannot start a thread. The address belongs to
+    /// the slot: while a predecessor still listens on it, a successor cannot start.
     pub fn start(settings: &SideSettings, options: SideOptions) -> Result<SideProcess, StartError> {
         let common = &settings.common;
         let listener = bind(common.listen)?;
@@ -107,7 +107,7 @@
         let control = Control::new(
             Side::new(profile, clock.now()),
             input.clone(),
-            Outside {
+            Backends {
                 exchanges,
                 engine: HttpEngine::new(settings.target),
                 table: options.table,
@@ -124,18 +124,18 @@
         Ok(SideProcess { listen: listen_address, input, control, stop, stop_after, _peers: peers })
     }
 
-    /// Where entries reach the process.
+    /// Returns the address for entries.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Begins a planned stop. With `give_back`, the endpoint goes too: its models are unloaded and
-    /// its row is removed; else a successor is to take it over as it is.
+    /// Begins a planned stop. With `give_back`, the endpoint is removed too: its models are
+    /// unloaded and its row is deleted. Otherwise a successor takes over the endpoint as it is.
     pub fn drain(&self, give_back: bool) {
         self.drainer()(give_back);
     }
 
-    /// [`SideProcess::drain`] for another thread.
+    /// Returns a function that calls [`SideProcess::drain`] from another thread.
     pub fn drainer(&self) -> impl Fn(bool) + Send + 'static {
         let (input, after) = (self.input.clone(), self.stop_after);
         move |give_back| {
@@ -159,7 +159,8 @@
     }
 }
 
-/// Looks for the own instance in the platform's list, and drains when it is leaving.
+/// Looks up the own instance in the platform's list periodically, and drains the process when the
+/// instance is leaving.
 fn watch_leaving(
     instances: Arc<dyn Instances>,
     own: &str,
@@ -175,7 +176,7 @@
                 let _ = input.send(Input::Event(drain));
                 break;
             }
-            std::thread::park_timeout(LIST_PAUSE);
+            std::thread::park_timeout(LIST_INTERVAL);
         }
     })?;
     Ok(())
