--- a/crates/pool/tests/all/budget.rs
+++ b/crates/pool/tests/all/budget.rs
@@ -1,12 +1,12 @@
-//! The budget of second sends.
+//! The retry budget.
 
 use citronrill_base::Millis;
 use citronrill_pool::RetryBudget;
 
-/// Endpoints turn slow, every request is sent again, and the endpoints get a multiple of the load.
-/// In any window of ten seconds the second sends stay within a fifth of the first and the slack.
+/// Slow endpoints cause retries of every request, which multiply the load on them. In any window of
+/// ten seconds, retries stay within a fifth of the first attempts plus the slack.
 #[test]
-fn repeats_stay_within_the_window() {
+fn retries_stay_within_the_window() {
     let mut budget = RetryBudget::new(0.2, 10_000);
     budget.set_slack(3.0);
     let mut taken = Vec::new();
@@ -18,19 +18,19 @@
     }
     for start in (0..50_000).step_by(500) {
         let window = start..start + 10_000;
-        let repeats = taken.iter().filter(|at| window.contains(*at)).count();
-        assert!(repeats <= 43, "{repeats} second sends from {start} ms on, for 200 first sends");
+        let retries = taken.iter().filter(|at| window.contains(*at)).count();
+        assert!(retries <= 43, "{retries} retries from {start} ms on, for 200 first attempts");
     }
-    assert!(taken.len() > 200, "the budget is there to be used: {}", taken.len());
+    assert!(taken.len() > 200, "retries are allowed: {}", taken.len());
 }
 
-/// Nothing was sent for a while, and a single request fails: it may be sent again from the slack.
+/// A single request fails after a time without traffic. The slack allows its retry.
 #[test]
-fn slack_serves_the_quiet_hour() {
+fn slack_allows_a_retry_without_traffic() {
     let mut budget = RetryBudget::new(0.2, 10_000);
     budget.set_slack(1.0);
     budget.first(Millis(0));
     assert!(budget.take(Millis(1)));
-    assert!(!budget.take(Millis(2)), "one in the window is all that the slack allows");
+    assert!(!budget.take(Millis(2)), "the slack allows one retry in the window");
     assert!(budget.take(Millis(10_002)));
 }
--- a/crates/pool/tests/all/entry.rs
+++ b/crates/pool/tests/all/entry.rs
@@ -1,131 +1,133 @@
-//! Guards of the entry's reducer, each with the failure that it meets.
+//! Tests of the entry's state machine, each for one failure.
 
 use citronrill_pool::Verdict;
 use citronrill_pool::{AnswerHead, EntryEffect, EntryEvent, FailureKind, Reason, Repeat, judge};
 use rstest::rstest;
 
 use crate::support::{
-    Bench, ENGINE, PLAIN, address, member, not_run, ok, passes, refusal, route, sending, state,
-    text,
+    Bench, ENGINE, PLAIN, address, config, dispatch, forwards, member, not_run, ok, refusal, route,
+    state,
 };
 
-/// A process starts while the store is away and callers already reach it. Nothing may be said of
-/// routes that it does not know: the caller is told to come back, not that there is no such route.
+/// A process starts during an outage of the platform store and already receives requests. It knows
+/// no routes, so it must answer with a retry time and not claim that a route does not exist.
 #[test]
-fn without_a_text_callers_are_told_to_come_back() {
-    let mut bench = Bench::blank();
-    let (_, effects) = bench.ask("/chat/x", "m0");
+fn requests_without_a_configuration_are_refused_with_a_retry_time() {
+    let mut bench = Bench::unconfigured();
+    let (_, effects) = bench.request("/chat/x", "m0");
     let (reason, retry_ms) = refusal(&effects).unwrap();
     assert_eq!((reason, reason.status()), (Reason::NoText, 503));
     assert!(retry_ms.is_some());
 }
 
-/// Guards against a balancer that sends callers to a process that has read the text but not yet the list.
+/// A load balancer must not send requests to a process that has the configuration but no member
+/// list yet.
 #[test]
-fn an_entry_is_ready_once_it_knows_text_and_list() {
-    let mut bench = Bench::blank();
-    bench.step(EntryEvent::Text(text(1)));
+fn entry_is_ready_once_it_has_configuration_and_member_list() {
+    let mut bench = Bench::unconfigured();
+    bench.step(EntryEvent::Text(config(1)));
     assert!(!bench.entry.ready());
-    bench.list(1, vec![member(1, PLAIN, &[])]);
+    bench.set_members(1, vec![member(1, PLAIN, &[])]);
     assert!(bench.entry.ready());
 }
 
-/// Guards against the same where the list comes first.
+/// The same if the member list arrives first.
 #[test]
-fn an_entry_with_a_list_and_no_text_is_not_ready() {
-    let mut bench = Bench::blank();
-    bench.list(1, vec![member(1, PLAIN, &[])]);
+fn entry_with_a_member_list_only_is_not_ready() {
+    let mut bench = Bench::unconfigured();
+    bench.set_members(1, vec![member(1, PLAIN, &[])]);
     assert!(!bench.entry.ready());
 }
 
-/// Guards against a caller who is told, in an outage of the store, that a route or model does not exist
-/// which was added meanwhile: it would not come back. What the old text knows is served.
+/// During an outage of the platform store, a caller must not be told that a route or model does not
+/// exist: it may have been added meanwhile, and the caller would not retry. Known routes are
+/// served.
 #[test]
-fn in_an_outage_nothing_is_said_not_to_exist() {
+fn missing_routes_are_retryable_in_a_store_outage() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[])]);
     bench.step(EntryEvent::TextCurrent(false));
     for (path, model) in [("/added/x", ""), ("/chat/x", "added")] {
-        let (_, effects) = bench.ask(path, model);
+        let (_, effects) = bench.request(path, model);
         let (reason, retry_ms) = refusal(&effects).unwrap();
         assert_eq!((reason, reason.status()), (Reason::OldText, 503));
         assert!(retry_ms.is_some());
     }
-    assert!(sending(&bench.ask("/status/x", "").1).is_some());
+    assert!(dispatch(&bench.request("/status/x", "").1).is_some());
     bench.step(EntryEvent::TextCurrent(true));
-    assert_eq!(refusal(&bench.ask("/added/x", "").1).unwrap().0, Reason::NoRoute);
+    assert_eq!(refusal(&bench.request("/added/x", "").1).unwrap().0, Reason::NoRoute);
 }
 
-/// Guards against the same where a process starts in the outage and has its text from a peer.
+/// The same for a process that starts during the outage and gets its configuration from a peer.
 #[test]
-fn a_text_of_a_peer_says_of_nothing_that_it_does_not_exist() {
-    let mut bench = Bench::blank();
-    bench.step(EntryEvent::Text(text(1)));
-    bench.list(1, vec![member(1, PLAIN, &[])]);
-    assert_eq!(refusal(&bench.ask("/added/x", "").1).unwrap().0, Reason::OldText);
+fn missing_routes_are_retryable_with_a_configuration_from_a_peer() {
+    let mut bench = Bench::unconfigured();
+    bench.step(EntryEvent::Text(config(1)));
+    bench.set_members(1, vec![member(1, PLAIN, &[])]);
+    assert_eq!(refusal(&bench.request("/added/x", "").1).unwrap().0, Reason::OldText);
 }
 
-/// An operator removes a route in version 2. A peer that lagged behind then passes on version 1;
-/// a request on the removed route must not be served again.
+/// An operator removes a route in version 2, and a peer that lags behind sends version 1. Requests
+/// on the removed route must not be served again.
 #[test]
-fn a_text_never_goes_back() {
+fn older_configuration_is_ignored() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[])]);
-    let mut newer = (*text(2)).clone();
+    let mut newer = (*config(2)).clone();
     newer.routes.retain(|route| route.prefix != "/status/");
     bench.step(EntryEvent::Text(newer.into()));
-    bench.step(EntryEvent::Text(text(1)));
-    let (_, effects) = bench.ask("/status/x", "");
+    bench.step(EntryEvent::Text(config(1)));
+    let (_, effects) = bench.request("/status/x", "");
     assert_eq!(refusal(&effects).unwrap().0, Reason::NoRoute);
 }
 
-/// Two routes begin alike and lead to different services. The longer prefix is meant.
+/// Two routes with a common prefix lead to different services. The longer prefix applies.
 #[test]
 fn the_longest_prefix_wins() {
-    let mut text = (*text(2)).clone();
-    text.routes.push(route("/status/deep/", ENGINE, Repeat::Idempotent, 1));
-    assert_eq!(text.route("pool.example", "/status/deep/x").unwrap().shares[0].0, ENGINE);
-    assert_eq!(text.route("pool.example", "/status/x").unwrap().shares[0].0, PLAIN);
-    assert!(text.route("other.example", "/status/x").is_none());
+    let mut config = (*config(2)).clone();
+    config.routes.push(route("/status/deep/", ENGINE, Repeat::Idempotent, 1));
+    assert_eq!(config.route("pool.example", "/status/deep/x").unwrap().shares[0].0, ENGINE);
+    assert_eq!(config.route("pool.example", "/status/x").unwrap().shares[0].0, PLAIN);
+    assert!(config.route("other.example", "/status/x").is_none());
 }
 
-/// A booking was sent and its connection broke. It may have run: it is not sent again, and the
-/// answer does not claim that it has not run.
+/// A non-repeatable call was dispatched and its connection broke. It may have run: it is not
+/// retried, and the response does not claim that it has not run.
 #[test]
-fn a_call_that_may_have_run_is_not_repeated() {
+fn call_that_may_have_run_is_not_retried() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[]), member(2, PLAIN, &[])]);
-    let (id, effects) = bench.ask("/book/x", "");
-    assert!(sending(&effects).is_some());
+    let (id, effects) = bench.request("/book/x", "");
+    assert!(dispatch(&effects).is_some());
     let effects = bench.step(EntryEvent::Fail(id, 1, FailureKind::Broken));
-    assert!(sending(&effects).is_none());
+    assert!(dispatch(&effects).is_none());
     let (reason, _) = refusal(&effects).unwrap();
     assert_eq!((reason, reason.status()), (Reason::Broken, 502));
 }
 
-/// An endpoint refuses a booking and says that it has not run, as its slots are full. Another
-/// endpoint may have it.
+/// An endpoint with full slots refuses a non-repeatable call and states that it has not run. The
+/// call is dispatched to another endpoint.
 #[test]
-fn a_call_that_has_not_run_goes_elsewhere() {
+fn call_that_has_not_run_is_retried_elsewhere() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[]), member(2, PLAIN, &[])]);
-    let (id, effects) = bench.ask("/book/x", "");
-    let first = sending(&effects).unwrap().instance.clone();
-    let effects = bench.answer(id, not_run(503));
-    assert_ne!(sending(&effects).unwrap().instance, first);
+    let (id, effects) = bench.request("/book/x", "");
+    let first = dispatch(&effects).unwrap().instance.clone();
+    let effects = bench.respond(id, not_run(503));
+    assert_ne!(dispatch(&effects).unwrap().instance, first);
 }
 
-/// Both endpoints fail a status query of their own. The caller gets the last endpoint's answer as
-/// it is, with its signature, and not one of the system's in its place.
+/// Both endpoints answer an idempotent call with an error. The caller gets the last endpoint's
+/// response unchanged, with its signature, and not one of the entry's own.
 #[test]
-fn an_endpoints_own_failure_is_passed_on_in_the_end() {
+fn last_endpoint_error_is_forwarded() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[]), member(2, PLAIN, &[])]);
     let failure = AnswerHead { status: 500, signed: true, ..AnswerHead::default() };
-    let (id, _) = bench.ask("/status/x", "");
-    let effects = bench.answer(id, failure);
-    assert!(sending(&effects).is_some(), "it may run again, at the other endpoint");
+    let (id, _) = bench.request("/status/x", "");
+    let effects = bench.respond(id, failure);
+    assert!(dispatch(&effects).is_some(), "it may run again, at the other endpoint");
     let effects = bench.step(EntryEvent::Answer(id, 2, failure));
-    assert!(passes(&effects));
+    assert!(forwards(&effects));
 }
 
-/// What an endpoint's answer means: success without signature and answers to other requests are
-/// nobody's; "not run" frees any request; a failure frees what may run again.
+/// A success without a signature, or a response to another request, counts as failed. "Not run"
+/// allows a retry of any request; an error allows one of requests that may run again.
 #[rstest]
 #[case(ok(), Repeat::Once, Verdict::Pass)]
 #[case(AnswerHead { signed: false, ..ok() }, Repeat::Once, Verdict::Failed)]
@@ -138,133 +140,137 @@
     Repeat::Idempotent,
     Verdict::Failed
 )]
-fn answers_are_judged(#[case] head: AnswerHead, #[case] repeat: Repeat, #[case] want: Verdict) {
-    assert_eq!(judge(head, repeat), want);
+fn responses_are_classified(
+    #[case] head: AnswerHead,
+    #[case] repeat: Repeat,
+    #[case] expected: Verdict,
+) {
+    assert_eq!(judge(head, repeat), expected);
 }
 
-/// An endpoint says that it leaves. New requests go elsewhere from then on.
+/// An endpoint reports that it is leaving. New requests go to other endpoints from then on.
 #[test]
-fn a_leaving_endpoint_gets_nothing_new() {
+fn leaving_endpoint_gets_no_new_requests() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[]), member(2, PLAIN, &[])]);
     let mut leaving = member(1, PLAIN, &[]);
     leaving.leaving = true;
-    bench.list(2, vec![leaving, member(2, PLAIN, &[])]);
+    bench.set_members(2, vec![leaving, member(2, PLAIN, &[])]);
     for _ in 0..12 {
-        let (id, effects) = bench.ask("/book/x", "");
-        assert_eq!(sending(&effects).unwrap().instance, "i2");
+        let (id, effects) = bench.request("/book/x", "");
+        assert_eq!(dispatch(&effects).unwrap().instance, "i2");
         bench.step(EntryEvent::Finish(id, true));
     }
 }
 
-/// The list is read anew and arrives late, after a newer one in which an endpoint has left. The
-/// endpoint must not come back.
+/// A member list arrives after a newer one from which an endpoint is gone. The endpoint must not
+/// come back.
 #[test]
-fn an_older_list_changes_nothing() {
+fn older_member_list_is_ignored() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[]), member(2, PLAIN, &[])]);
-    bench.list(5, vec![member(2, PLAIN, &[])]);
-    bench.list(4, vec![member(1, PLAIN, &[]), member(2, PLAIN, &[])]);
+    bench.set_members(5, vec![member(2, PLAIN, &[])]);
+    bench.set_members(4, vec![member(1, PLAIN, &[]), member(2, PLAIN, &[])]);
     for _ in 0..6 {
-        let (_, effects) = bench.ask("/book/x", "");
-        assert_eq!(sending(&effects).unwrap().instance, "i2");
+        let (_, effects) = bench.request("/book/x", "");
+        assert_eq!(dispatch(&effects).unwrap().instance, "i2");
     }
 }
 
-/// A process has the address of one that crashed and says so. The crashed one is forgotten, though
-/// the list names it for some seconds more, and the request goes to its successor.
+/// A process at the address of a crashed one refuses a request for it. The crashed one is removed,
+/// although the member list names it for some more seconds, and requests go to its successor.
 #[test]
-fn a_superseded_start_is_forgotten() {
+fn superseded_incarnation_is_removed() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[])]);
-    let (id, _) = bench.ask("/book/x", "");
+    let (id, _) = bench.request("/book/x", "");
     let mut head = not_run(421);
     head.elsewhere = true;
-    bench.answer(id, head);
-    let (_, effects) = bench.ask("/book/x", "");
+    bench.respond(id, head);
+    let (_, effects) = bench.request("/book/x", "");
     assert_eq!(refusal(&effects).unwrap().0, Reason::NoEndpoint);
 }
 
-/// An instance loses power with a resumable request on it; nothing closes the connection. The
-/// request goes to another endpoint after two objectives, and its old answer, should it still come,
-/// is not taken for the new one's.
+/// An instance loses power with a resumable request on it, and nothing closes the connection. The
+/// request is retried at another endpoint after twice the latency target. A late response to the
+/// first attempt must not be taken for one to the second.
 #[test]
-fn a_silent_sending_is_moved_and_its_late_answer_ignored() {
+fn unanswered_attempt_is_retried_and_its_late_response_ignored() {
     let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
     let mut bench = Bench::new(members);
     for index in [1, 2] {
         bench.step(EntryEvent::Side(address(index), state(1, &["m0"])));
     }
-    let (id, effects) = bench.ask("/chat/x", "m0");
-    let first = sending(&effects).unwrap().instance.clone();
-    let effects = bench.wait(1_100);
-    let second = sending(&effects).expect("moved after two objectives");
+    let (id, effects) = bench.request("/chat/x", "m0");
+    let first = dispatch(&effects).unwrap().instance.clone();
+    let effects = bench.advance(1_100);
+    let second = dispatch(&effects).expect("retried after twice the latency target");
     assert_ne!(second.instance, first);
     assert_eq!(second.number, 2);
-    let effects = bench.answer(id, ok());
-    assert!(!passes(&effects), "the first sending's answer is not held any more");
+    let effects = bench.respond(id, ok());
+    assert!(!forwards(&effects), "a response to the first attempt is ignored");
     let effects = bench.step(EntryEvent::Answer(id, 2, ok()));
-    assert!(passes(&effects));
+    assert!(forwards(&effects));
 }
 
-/// The same with a request that may run once: it stays where it is, as it may be running.
+/// The same for a request that may run only once: it is not retried, as it may be running.
 #[test]
-fn a_silent_call_that_may_run_once_stays() {
+fn unanswered_request_that_may_run_once_is_not_retried() {
     let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
     let mut bench = Bench::new(members);
     for index in 1..=2 {
         bench.step(EntryEvent::Side(address(index), state(1, &["m0"])));
     }
-    let (_, effects) = bench.ask("/draft/x", "m0");
-    assert!(sending(&effects).is_some());
-    assert!(sending(&bench.wait(3_000)).is_none());
+    let (_, effects) = bench.request("/draft/x", "m0");
+    assert!(dispatch(&effects).is_some());
+    assert!(dispatch(&bench.advance(3_000)).is_none());
 }
 
-/// A route allows five seconds. A request that no endpoint has answered by then is ended by the
-/// entry, and not held until its caller gives up.
+/// A request without a response within the route's timeout of five seconds is ended by the entry,
+/// and not held until its caller gives up.
 #[test]
-fn a_request_ends_at_its_routes_timeout() {
+fn request_ends_at_its_route_timeout() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[])]);
-    bench.ask("/book/x", "");
-    let effects = bench.wait(5_040);
+    bench.request("/book/x", "");
+    let effects = bench.advance(5_040);
     let (reason, _) = refusal(&effects).unwrap();
     assert_eq!((reason, reason.status()), (Reason::TimedOut, 504), "it may have run");
 }
 
-/// An entry gets SIGTERM while a request waits for its model and another runs. The waiting one is
-/// told to go elsewhere in time, the running one is answered before the process ends; before, both
-/// saw a closed connection.
+/// An entry gets SIGTERM while one request waits for its model and another one runs. The waiting
+/// one is refused in time to be retried elsewhere, the running one is answered before the process
+/// ends; without this, both callers saw a closed connection.
 #[test]
-fn a_planned_stop_leaves_nobody_without_an_answer() {
+fn planned_stop_answers_all_requests() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
     bench.step(EntryEvent::Side(address(1), state(1, &["m0"])));
-    bench.ask("/draft/x", "m0");
-    let (_, effects) = bench.ask("/draft/x", "m5");
-    assert!(sending(&effects).is_none());
+    bench.request("/draft/x", "m0");
+    let (_, effects) = bench.request("/draft/x", "m5");
+    assert!(dispatch(&effects).is_none());
     bench.step(EntryEvent::Stop(1_000, 3_000));
-    let effects = bench.wait(1_100);
+    let effects = bench.advance(1_100);
     let (reason, retry_ms) = refusal(&effects).unwrap();
     assert_eq!((reason, reason.status()), (Reason::Stopping, 503));
-    assert!(retry_ms.unwrap() < 200, "another entry takes it at once");
-    let effects = bench.wait(2_000);
+    assert!(retry_ms.unwrap() < 200, "another entry can take it at once");
+    let effects = bench.advance(2_000);
     assert_eq!(refusal(&effects).unwrap().0, Reason::TimedOut);
 }
 
-/// A caller leaves while its request runs. The endpoint's count goes down, or the endpoint would
-/// look busy for good.
+/// A caller leaves while its request runs. The endpoint's request count must decrease, or the
+/// endpoint would look busy forever.
 #[test]
-fn a_caller_that_leaves_frees_its_place() {
+fn leaving_caller_releases_its_slot() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[])]);
     for _ in 0..40 {
-        let (id, effects) = bench.ask("/book/x", "");
-        assert!(sending(&effects).is_some());
+        let (id, effects) = bench.request("/book/x", "");
+        assert!(dispatch(&effects).is_some());
         bench.step(EntryEvent::Leave(id));
     }
     assert_eq!(bench.entry.in_hand(), 0);
 }
 
-/// Every decision that ends a request is in the log with the request's id and what decided it.
+/// Every refusal is logged with the request's ID and the inputs of the decision.
 #[test]
 fn refusals_are_logged_with_their_inputs() {
     let mut bench = Bench::new(vec![]);
-    let (_, effects) = bench.ask("/book/x", "");
+    let (_, effects) = bench.request("/book/x", "");
     let line = effects.iter().find_map(|effect| match effect {
         EntryEffect::Log(event) if event.event == "refused" => Some(event.to_string()),
         _ => None,
--- a/crates/pool/tests/all/follow.rs
+++ b/crates/pool/tests/all/follow.rs
@@ -1,34 +1,34 @@
-//! Following a table of a store that falls silent and comes back.
+//! Following a table of a store that stops responding and recovers.
 
 use citronrill_pool::{Follow, FollowProfile, StoreAsk};
 use rstest::rstest;
 
-/// A store that answers nobody from `lost` to `back`, in milliseconds; what is asked or held meanwhile is
-/// never answered. What changed in the outage is there when it is back.
+/// A store that answers no call from `down_at` to `up_at`, in milliseconds. Calls that are open or
+/// held meanwhile are never answered. Changes made during the outage are available at its end.
 struct SilentStore {
-    lost: u64,
-    back: u64,
+    down_at: u64,
+    up_at: u64,
     answer_ms: u64,
 }
 
 impl SilentStore {
-    /// Milliseconds from the store's return to the first answer of a call that was made after it.
-    fn regained_ms(&self, follow: &mut Follow) -> u64 {
+    /// Milliseconds from the end of the outage to the first answer of a call made after it.
+    fn recovery_ms(&self, follow: &mut Follow) -> u64 {
         let (mut now, mut version) = (0, 0);
         loop {
             let call = follow.call();
             let hold_ms = match call.ask {
-                StoreAsk::Changes { hold_ms, .. } if now < self.back => hold_ms,
+                StoreAsk::Changes { hold_ms, .. } if now < self.up_at => hold_ms,
                 _ => 0,
             };
             let answered = now + hold_ms + self.answer_ms;
-            let swallowed = now < self.back && answered > self.lost;
-            if swallowed || answered > now + call.limit_ms {
+            let call_lost = now < self.up_at && answered > self.down_at;
+            if call_lost || answered > now + call.limit_ms {
                 now += call.limit_ms + follow.failed(call.limit_ms);
                 continue;
             }
-            if now >= self.back {
-                return answered - self.back;
+            if now >= self.up_at {
+                return answered - self.up_at;
             }
             version += 1;
             let waited_ms = answered - now;
@@ -37,31 +37,31 @@
     }
 }
 
-/// Guards against a text that is confirmed as an outage ends and is still not in force when the outage
-/// no longer excuses it, as a call of the outage is waited for.
+/// A configuration is confirmed at the end of an outage. If the process still waits for a call lost
+/// in the outage, the configuration is not in force when the recovery time ends.
 #[rstest]
 #[case::usual_store(3_000, 5)]
 #[case::slow_store(3_000, 200)]
-#[case::longer_excuse(4_000, 5)]
-#[case::longest_excuse(5_000, 200)]
-fn a_call_that_an_outage_swallowed_delays_nothing_after_it(
-    #[case] recover_ms: u64,
-    #[case] answer_ms: u64,
-) {
-    for lost in (5_000..9_000).step_by(50) {
+#[case::longer_recovery(4_000, 5)]
+#[case::longest_recovery(5_000, 200)]
+fn call_lost_in_an_outage_does_not_delay_recovery(#[case] recover_ms: u64, #[case] answer_ms: u64) {
+    for down_at in (5_000..9_000).step_by(50) {
         for length in (50..12_000).step_by(50) {
-            let store = SilentStore { lost, back: lost + length, answer_ms };
-            let profile = FollowProfile { seed: lost + length, recover_ms, pace_ms: 0 };
-            let took = store.regained_ms(&mut Follow::new(profile));
-            assert!(took <= recover_ms, "{took} ms after {length} ms of silence from {lost} on");
+            let store = SilentStore { down_at, up_at: down_at + length, answer_ms };
+            let profile = FollowProfile { seed: down_at + length, recover_ms, pace_ms: 0 };
+            let took = store.recovery_ms(&mut Follow::new(profile));
+            assert!(
+                took <= recover_ms,
+                "{took} ms after {length} ms without answers from {down_at} ms on"
+            );
         }
     }
 }
 
-/// Guards against a list that is never read, or only each third time, while each answer takes longer than is
-/// usually waited for.
+/// With a fixed timeout, a store that answers more slowly than usual was never read, or only on
+/// every third call.
 #[test]
-fn a_slow_store_is_waited_for_longer() {
+fn timeout_grows_with_a_slow_store() {
     let profile = FollowProfile { seed: 1, recover_ms: 3_000, pace_ms: 900 };
     let mut follow = Follow::new(profile);
     follow.answered(1, 5);
--- a/crates/pool/tests/all/main.rs
+++ b/crates/pool/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the pool's reducers: guards one by one, and whole pools on virtual time.
+//! Tests of the pool's state machines: single properties, and whole pools on virtual time.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
--- a/crates/pool/tests/all/missed.rs
+++ b/crates/pool/tests/all/missed.rs
@@ -1,23 +1,25 @@
-//! What the weight store brings first, as many entries see it.
+//! Priority of loads from the weight store with many entries.
 
 use citronrill_base::Millis;
 use citronrill_pool::{EntryEffect, EntryEvent, EntryProfile, PoolEntry, PoolSide, SideEvent};
 use citronrill_wire::{ModelRate, SideState, Usage};
 
-use crate::support::{Bench, ENGINE, address, bare, report, text, told, wanted};
+use crate::support::{
+    Bench, ENGINE, address, bare, config, report, requested_load, state_with_rates,
+};
 
-/// A side that counts misses, after each model was missed so often over ten seconds.
-fn counted(missed: &[(&str, u32)]) -> SideState {
+/// State of a side that counted the given number of misses of each model over ten seconds.
+fn state_with_misses(missed: &[(&str, u32)]) -> SideState {
     let mut side = PoolSide::new(ENGINE);
-    side.step(Millis(0), SideEvent::Text(text(1)));
+    side.step(Millis(0), SideEvent::Text(config(1)));
     let step = |side: &mut PoolSide, ms: u64, model: &str| {
         let missed = Usage { model: model.to_owned(), missed: true, ..Usage::default() };
         side.step(Millis(ms), SideEvent::Used(missed));
     };
     for ms in (0..10_000).step_by(100) {
         for (model, count) in missed {
-            let each = 10_000 / u64::from(*count);
-            if ms % each < 100 {
+            let interval = 10_000 / u64::from(*count);
+            if ms % interval < 100 {
                 step(&mut side, ms, model);
             }
         }
@@ -26,88 +28,104 @@
     side.state().unwrap()
 }
 
-fn twenty() -> Bench {
+/// An entry with twenty engines that all have `m0` loaded.
+fn bench_of_twenty() -> Bench {
     Bench::new((1..=20).map(|index| bare(index, &["m0"])).collect())
 }
 
-fn hear(bench: &mut Bench, missed: &[ModelRate]) {
+fn report_states(bench: &mut Bench, missed: &[ModelRate]) {
     for index in 1..=20 {
-        let state = told(&[("m0", 1)]);
+        let state = state_with_rates(&[("m0", 1)]);
         let missed = if index == 7 { missed.to_vec() } else { Vec::new() };
         bench.step(EntryEvent::Side(address(index), SideState { missed, ..state }));
     }
 }
 
-/// Guards against a count that depends on the entry: one side counts what all of them miss.
+/// The miss rate of a model must not depend on the entry: one side counts the misses of all
+/// entries.
 #[test]
-fn a_side_counts_what_all_entries_miss() {
-    let state = counted(&[("m5", 20), ("m6", 2)]);
-    let rates = state.missed.iter().map(|one| (one.name.as_str(), one.rate_milli / 100));
+fn side_counts_the_misses_of_all_entries() {
+    let state = state_with_misses(&[("m5", 20), ("m6", 2)]);
+    let rates = state.missed.iter().map(|model| (model.name.as_str(), model.rate_milli / 100));
     let rates = rates.collect::<Vec<_>>();
-    assert_eq!(rates.iter().map(|one| one.0).collect::<Vec<_>>(), vec!["m5", "m6"]);
-    assert!((10..=20).contains(&rates[0].1), "{rates:?}: two a second, less what has faded");
-    assert!(state.models.iter().all(|one| one.rate_milli == 0), "a miss is no use of the endpoint");
+    assert_eq!(rates.iter().map(|(name, _)| *name).collect::<Vec<_>>(), vec!["m5", "m6"]);
+    assert!((10..=20).contains(&rates[0].1), "{rates:?}: two a second, less the decay");
+    assert!(
+        state.models.iter().all(|model| model.rate_milli == 0),
+        "a miss does not count as use of the endpoint"
+    );
 }
 
-/// Guards against 68 entries that each bring what they happened to miss themselves: a model that thirty
-/// callers a second missed stood behind models that one in ten seconds asked for, for a whole day.
+/// 68 entries each loaded what they missed themselves. A model with thirty missed requests a second
+/// waited for a whole day behind models with one request in ten seconds.
 #[test]
-fn what_all_entries_miss_most_is_brought_first() {
-    let mut bench = twenty();
-    let missed = counted(&[("m5", 20), ("m6", 4)]).missed;
-    hear(&mut bench, &missed);
-    let late = SideState { loading: vec!["m9".to_owned()], store_loads: 1, ..told(&[("m0", 1)]) };
+fn model_with_the_highest_miss_rate_is_loaded_first() {
+    let mut bench = bench_of_twenty();
+    let missed = state_with_misses(&[("m5", 20), ("m6", 4)]).missed;
+    report_states(&mut bench, &missed);
+    let late = SideState {
+        loading: vec!["m9".to_owned()],
+        store_loads: 1,
+        ..state_with_rates(&[("m0", 1)])
+    };
     bench.step(EntryEvent::Side(address(3), late));
-    let (_, mut effects) = bench.ask_for("/draft/x", "m6", 3_000);
-    effects.extend(bench.wait(100));
-    assert!(wanted(&effects).is_none(), "the place that is left is not for the model missed less");
-    let (_, mut effects) = bench.ask_for("/draft/x", "m5", 3_000);
-    effects.extend(bench.wait(100));
-    assert_eq!(wanted(&effects).map(|(_, want)| want.model.as_str()), Some("m5"));
+    let (_, mut effects) = bench.request_with_deadline("/draft/x", "m6", 3_000);
+    effects.extend(bench.advance(100));
+    assert!(
+        requested_load(&effects).is_none(),
+        "the remaining capacity is not for the model with the lower miss rate"
+    );
+    let (_, mut effects) = bench.request_with_deadline("/draft/x", "m5", 3_000);
+    effects.extend(bench.advance(100));
+    assert_eq!(
+        requested_load(&effects).map(|(_, load_request)| load_request.model.as_str()),
+        Some("m5")
+    );
 }
 
-/// Guards against misses that no side hears of, and against one that is told twice.
+/// A miss must be reported to a side, and only once.
 #[test]
-fn each_miss_is_told_to_one_side() {
-    let mut bench = twenty();
-    hear(&mut bench, &[]);
-    let (_, mut effects) = bench.ask_for("/draft/x", "m5", 3_000);
-    effects.extend(bench.wait(100));
-    let tells = effects.iter().filter_map(|effect| match effect {
+fn each_miss_is_reported_to_one_side() {
+    let mut bench = bench_of_twenty();
+    report_states(&mut bench, &[]);
+    let (_, mut effects) = bench.request_with_deadline("/draft/x", "m5", 3_000);
+    effects.extend(bench.advance(100));
+    let reports = effects.iter().filter_map(|effect| match effect {
         EntryEffect::Used(_, used) if used.missed => Some(used.model.as_str()),
         _ => None,
     });
-    assert_eq!(tells.collect::<Vec<_>>(), vec!["m5"]);
+    assert_eq!(reports.collect::<Vec<_>>(), vec!["m5"]);
 }
 
-/// Guards against loads that go on one beside the other although the one under way shows that the store
-/// carries a single one at full speed.
+/// A load in progress is overdue, which shows that the weight store carries a single one at full
+/// speed. No second load may start beside it.
 #[test]
-fn a_load_that_is_late_tells_the_limit_while_it_is_under_way() {
-    let asks = |overdue: u32| {
-        let mut bench = twenty();
-        hear(&mut bench, &[]);
+fn overdue_load_lowers_the_limit_of_concurrent_loads() {
+    let requests_load = |overdue: u32| {
+        let mut bench = bench_of_twenty();
+        report_states(&mut bench, &[]);
         let late = SideState {
             loading: vec!["m9".to_owned()],
             store_loads: 1,
             store_overdue: overdue,
             store_concurrent: 2,
-            ..told(&[("m0", 1)])
+            ..state_with_rates(&[("m0", 1)])
         };
         bench.step(EntryEvent::Side(address(3), late));
         let mut effects = Vec::new();
         for _ in 0..60 {
-            effects.extend(bench.ask_for("/draft/x", "m5", 3_000).1);
+            effects.extend(bench.request_with_deadline("/draft/x", "m5", 3_000).1);
         }
-        wanted(&effects).is_some()
+        requested_load(&effects).is_some()
     };
-    assert!(asks(0), "many wait for it, and the store may carry two");
-    assert!(!asks(1_200));
+    assert!(requests_load(0), "many wait for it, and the store may serve two loads");
+    assert!(!requests_load(1_200));
 }
 
-/// Guards against 68 entries that hear in the same moment that the store has room, and ask for as many models.
+/// 68 entries learn at the same moment that the weight store has capacity, and must not all send a
+/// load request at once.
 #[test]
-fn entries_take_turns_to_ask_the_store() {
+fn entries_take_turns_in_sending_load_requests() {
     let mut entries = (0..68_u64).map(|index| {
         let profile = EntryProfile {
             zone: "a".to_owned(),
@@ -116,28 +134,28 @@
             retry_slack: 50.0,
             retry_window_ms: 10_000,
         };
-        let mut bench = twenty();
+        let mut bench = bench_of_twenty();
         bench.entry = PoolEntry::new(profile);
-        bench.step(EntryEvent::Text(text(1)));
-        bench.list(1, (1..=20).map(|index| bare(index, &["m0"])).collect());
+        bench.step(EntryEvent::Text(config(1)));
+        bench.set_members(1, (1..=20).map(|index| bare(index, &["m0"])).collect());
         let missed = vec![ModelRate { name: format!("m{}", 1 + index % 9), rate_milli: 900 }];
         for index in 1..=20 {
-            let state = SideState { entries: 68, ..told(&[("m0", 1)]) };
+            let state = SideState { entries: 68, ..state_with_rates(&[("m0", 1)]) };
             let missed = if index == 7 { missed.clone() } else { Vec::new() };
             bench.step(EntryEvent::Side(address(index), SideState { missed, ..state }));
         }
-        bench.ask_for("/draft/x", &format!("m{}", 1 + index % 9), 3_000);
+        bench.request_with_deadline("/draft/x", &format!("m{}", 1 + index % 9), 3_000);
         bench
     });
     let mut entries = entries.by_ref().collect::<Vec<_>>();
-    let mut asked = 0;
+    let mut requested = 0;
     let mut most = 0;
     for _ in 0..100 {
-        let now = entries.iter_mut().map(|bench| wanted(&bench.wait(20)).is_some());
-        let now = now.filter(|asked| *asked).count();
-        asked += now;
+        let now = entries.iter_mut().map(|bench| requested_load(&bench.advance(20)).is_some());
+        let now = now.filter(|requested| *requested).count();
+        requested += now;
         most = most.max(now);
     }
-    assert!(asked > 20, "each has its turn within seconds: {asked}");
-    assert!(most <= 8, "{most} in one moment");
+    assert!(requested > 20, "every entry has its turn within seconds: {requested}");
+    assert!(most <= 8, "{most} at the same time");
 }
--- a/crates/pool/tests/all/overload.rs
+++ b/crates/pool/tests/all/overload.rs
@@ -1,88 +1,101 @@
-//! A model that is asked for more often than its replicas can serve.
+//! A model that receives more requests than its replicas can serve.
 
 use citronrill_pool::{EntryEffect, EntryEvent, Reason, RequestId, Sending};
 use citronrill_wire::SideState;
 
-use crate::support::{Bench, ENGINE, address, member, refusal, sending, state};
+use crate::support::{Bench, ENGINE, address, dispatch, member, refusal, state};
 
-/// An entry with one engine of 24 slots on which so many run.
+/// An entry with one engine of 24 slots that runs `active` requests.
 fn bench(active: u32) -> Bench {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
-    hear(&mut bench, active);
+    report_state(&mut bench, active);
     bench
 }
 
-fn hear(bench: &mut Bench, active: u32) -> Vec<EntryEffect> {
+fn report_state(bench: &mut Bench, active: u32) -> Vec<EntryEffect> {
     let state = SideState { active, ..state(1, &["m0"]) };
     bench.step(EntryEvent::Side(address(1), state))
 }
 
-fn sent(effects: &[EntryEffect]) -> Vec<(RequestId, Sending)> {
-    let one = |effect: &EntryEffect| match effect {
-        EntryEffect::Send(id, sending) => Some((*id, sending.clone())),
+fn dispatches(effects: &[EntryEffect]) -> Vec<(RequestId, Sending)> {
+    let dispatch = |effect: &EntryEffect| match effect {
+        EntryEffect::Send(id, dispatch) => Some((*id, dispatch.clone())),
         _ => None,
     };
-    effects.iter().filter_map(one).collect()
+    effects.iter().filter_map(dispatch).collect()
 }
 
-/// Guards against a queue in which everybody waits for longer than the objective, so that nobody is answered
-/// in time: who can still be answered in time goes first, and whoever is late has the slots that are left.
+/// In a first-in, first-out queue all requests wait longer than the latency target and none meets
+/// it. Requests that can still meet the target go first, late ones get the remaining slots.
 #[test]
-fn who_is_late_goes_after_those_who_are_not() {
+fn late_requests_run_after_those_that_can_meet_the_target() {
     let mut bench = bench(30);
-    let (late, effects) = bench.ask("/draft/x", "m0");
-    assert!(sending(&effects).is_none());
-    bench.wait(520);
-    let (fresh, _) = bench.ask("/draft/x", "m0");
-    let order = sent(&hear(&mut bench, 29));
-    assert_eq!(order.iter().map(|one| one.0).collect::<Vec<_>>(), vec![fresh]);
+    let (late, effects) = bench.request("/draft/x", "m0");
+    assert!(dispatch(&effects).is_none());
+    bench.advance(520);
+    let (fresh, _) = bench.request("/draft/x", "m0");
+    let order = dispatches(&report_state(&mut bench, 29));
+    assert_eq!(order.iter().map(|(id, _)| *id).collect::<Vec<_>>(), vec![fresh]);
     assert_eq!(order[0].1.urgency, 0);
-    let order = sent(&hear(&mut bench, 23));
-    assert_eq!(order.iter().map(|one| (one.0, one.1.urgency)).collect::<Vec<_>>(), vec![(late, 1)]);
+    let order = dispatches(&report_state(&mut bench, 23));
+    assert_eq!(
+        order.iter().map(|(id, dispatch)| (*id, dispatch.urgency)).collect::<Vec<_>>(),
+        vec![(late, 1)]
+    );
 }
 
-/// Guards against a late request that is held to its end while others have the slots.
+/// A late request must not be held until its deadline while others get the slots.
 #[test]
-fn who_is_late_is_sent_back_while_it_is_of_use() {
+fn late_request_is_refused_well_before_its_deadline() {
     let mut bench = bench(30);
-    let (id, _) = bench.ask("/draft/x", "m0");
+    let (id, _) = bench.request("/draft/x", "m0");
     let mut refused = None;
     for _ in 0..200 {
-        bench.ask("/draft/x", "m0");
-        let mut effects = hear(&mut bench, 30);
-        effects.extend(bench.wait(20));
-        let one = |one: &&EntryEffect| matches!(one, EntryEffect::Refuse(other, _) if *other == id);
-        if let Some(effect) = effects.iter().find(one) {
-            refused = refusal(std::slice::from_ref(effect)).map(|one| (bench.now, one));
+        bench.request("/draft/x", "m0");
+        let mut effects = report_state(&mut bench, 30);
+        effects.extend(bench.advance(20));
+        let refuses =
+            |effect: &&EntryEffect| matches!(effect, EntryEffect::Refuse(other, _) if *other == id);
+        if let Some(effect) = effects.iter().find(refuses) {
+            refused = refusal(std::slice::from_ref(effect)).map(|refusal| (bench.now, refusal));
             break;
         }
     }
     let (at, (reason, retry_ms)) = refused.unwrap();
     assert_eq!(reason, Reason::Full);
-    assert!((2_900..3_200).contains(&at), "after four objectives: {at}");
+    assert!((2_900..3_200).contains(&at), "after four latency targets: {at}");
     assert!(retry_ms.is_some());
 }
 
-/// Guards against a burst when a model has come that many callers wait for: each of 68 entries sees an idle
-/// engine, and together they send ten times what it takes.
+/// When a model becomes ready, each of 68 entries sees an idle engine. If all dispatched their
+/// waiting requests at once, the engine would receive ten times its capacity.
 #[test]
-fn what_has_waited_is_sent_a_share_at_a_time() {
+fn waiting_requests_are_dispatched_in_shares() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
-    let told = |models: &[&str], load| SideState {
+    let loaded_state = |models: &[&str], load| SideState {
         entries: 68,
         active: load,
         loading: if models.len() < 2 { vec!["m5".to_owned()] } else { Vec::new() },
         ..state(1, models)
     };
-    bench.step(EntryEvent::Side(address(1), told(&["m0"], 0)));
+    bench.step(EntryEvent::Side(address(1), loaded_state(&["m0"], 0)));
     for _ in 0..6 {
-        bench.ask("/draft/x", "m5");
+        bench.request("/draft/x", "m5");
     }
     bench.now += 300;
-    let first = sent(&bench.step(EntryEvent::Side(address(1), told(&["m0", "m5"], 0))));
+    let first =
+        dispatches(&bench.step(EntryEvent::Side(address(1), loaded_state(&["m0", "m5"], 0))));
     assert_eq!(first.len(), 1);
-    assert_eq!(sent(&bench.wait(100)).len(), 0, "nothing is known of what the others have sent");
-    assert_eq!(sent(&bench.ask("/draft/x", "m5").1).len(), 1, "who has just come is not held up");
-    let word = bench.step(EntryEvent::Side(address(1), told(&["m0", "m5"], 12)));
-    assert_eq!(sent(&word).len(), 1);
+    assert_eq!(
+        dispatches(&bench.advance(100)).len(),
+        0,
+        "the dispatches of other entries are not known yet"
+    );
+    assert_eq!(
+        dispatches(&bench.request("/draft/x", "m5").1).len(),
+        1,
+        "a new request is not delayed"
+    );
+    let effects = bench.step(EntryEvent::Side(address(1), loaded_state(&["m0", "m5"], 12)));
+    assert_eq!(dispatches(&effects).len(), 1);
 }
--- a/crates/pool/tests/all/pace.rs
+++ b/crates/pool/tests/all/pace.rs
@@ -1,10 +1,11 @@
-//! Looks at the clock.
+//! Scheduling of timer ticks.
 
 use citronrill_base::Millis;
 use citronrill_pool::{Due, Pace};
 
-/// What is due in a second with a look every 20 ms, `event` coming or not in each millisecond.
-fn looks(event: impl Fn(u64) -> bool) -> (usize, usize) {
+/// Counts the urgent and full ticks due in one second, polled each millisecond with an interval of
+/// 20 ms. `event` says whether an event arrives in that millisecond.
+fn ticks(event: impl Fn(u64) -> bool) -> (usize, usize) {
     let mut pace = Pace::default();
     let due = (1..=1_000).map(|ms| {
         if event(ms) {
@@ -13,18 +14,18 @@
         pace.take(20, Millis(ms))
     });
     let due = due.collect::<Vec<_>>();
-    let count = |which| due.iter().filter(|one| **one == which).count();
+    let count = |which| due.iter().filter(|tick| **tick == which).count();
     (count(Due::Look), count(Due::Whole))
 }
 
-/// Under input that never paused for 20 ms, an entry looked at the clock seldom, and deadlines passed unseen.
+/// Under input without a pause of 20 ms, an entry rarely ran its timers and missed deadlines.
 #[test]
-fn steady_input_delays_no_look() {
-    assert_eq!(looks(|_| true), (40, 10));
+fn continuous_input_does_not_delay_ticks() {
+    assert_eq!(ticks(|_| true), (40, 10));
 }
 
-/// An entry without input looks at all every time.
+/// Without input, every tick of an entry is a full one.
 #[test]
-fn looks_are_whole_without_input() {
-    assert_eq!(looks(|_| false), (0, 50));
+fn all_ticks_are_full_without_input() {
+    assert_eq!(ticks(|_| false), (0, 50));
 }
--- a/crates/pool/tests/all/placement.rs
+++ b/crates/pool/tests/all/placement.rs
@@ -1,11 +1,14 @@
-//! Where models are fetched to, and what makes way for them.
+//! Placement of models on endpoints, and the choice of eviction candidates.
 
 use citronrill_pool::{EntryEffect, EntryEvent, Member, Reason};
 use citronrill_wire::{ModelName, SideState};
 
-use crate::support::{Bench, ENGINE, address, bare, member, refusal, sending, state, told, wanted};
+use crate::support::{
+    Bench, ENGINE, address, bare, dispatch, member, refusal, requested_load, state,
+    state_with_rates,
+};
 
-/// What a side says whose models are asked for so often a second.
+/// State reported by a side, with the request rate (per second) of each model.
 fn busy(rates: &[(&str, u32)]) -> SideState {
     let names = rates.iter().map(|(name, _)| *name).collect::<Vec<_>>();
     let mut state = state(1, &names);
@@ -15,73 +18,74 @@
     state
 }
 
-/// A request comes for a model that no endpoint holds. It waits, its model is fetched to the
-/// endpoint where least is lost, and it goes there as soon as the side tells that it has come.
+/// A request needs a model that no endpoint has loaded. It waits while the model is loaded at the
+/// endpoint with the lowest cost, and is dispatched as soon as the side reports the model.
 #[test]
-fn a_request_waits_for_its_model() {
+fn request_waits_for_its_model() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1", "m2"])]);
     bench.step(EntryEvent::Side(address(1), state(1, &["m0"])));
     bench.step(EntryEvent::Side(address(2), state(1, &["m1", "m2"])));
-    let (_, effects) = bench.ask("/draft/x", "m5");
-    let (at, want) = wanted(&effects).unwrap();
-    assert_eq!((at, want.model.as_str()), (address(1), "m5"));
-    assert!(want.victims.is_empty(), "there is room beside m0");
+    let (_, effects) = bench.request("/draft/x", "m5");
+    let (at, load_request) = requested_load(&effects).unwrap();
+    assert_eq!((at, load_request.model.as_str()), (address(1), "m5"));
+    assert!(load_request.victims.is_empty(), "memory suffices for both models");
     let effects = bench.step(EntryEvent::Side(address(1), state(2, &["m0", "m5"])));
-    assert_eq!(sending(&effects).unwrap().instance, "i1");
+    assert_eq!(dispatch(&effects).unwrap().instance, "i1");
 }
 
-/// The list lags by seconds and still names a model whose side said that it makes way. Requests
-/// sent there were refused, one in eighteen on a calm day; they must go by the side's word.
+/// The member list lags by seconds and still names a model that its side reports as being evicted.
+/// Requests dispatched there were refused, one in eighteen under normal load; the side's report
+/// must decide.
 #[test]
-fn the_sides_word_stands_over_the_list() {
+fn side_state_overrides_the_member_list() {
     let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
     let mut bench = Bench::new(members.clone());
     bench.step(EntryEvent::Side(address(2), state(3, &["m0"])));
     let mut leaving = state(3, &["m0"]);
     leaving.leaving = vec!["m0".to_owned()];
     bench.step(EntryEvent::Side(address(1), leaving));
-    bench.list(9, members);
+    bench.set_members(9, members);
     for _ in 0..8 {
-        let (_, effects) = bench.ask("/chat/x", "m0");
-        assert_eq!(sending(&effects).unwrap().instance, "i2");
+        let (_, effects) = bench.request("/chat/x", "m0");
+        assert_eq!(dispatch(&effects).unwrap().instance, "i2");
     }
 }
 
-/// A busy model has two replicas, and the instance of one loses power. The list names it for three
-/// heartbeats more. A rare model must not push out the replica that is left.
+/// A busy model has two replicas, and the instance of one loses power. The member list names it for
+/// three more heartbeats. A rare model must not evict the remaining replica.
 #[test]
-fn a_dark_endpoints_replica_does_not_count() {
+fn replica_of_a_silent_side_does_not_count() {
     let members = vec![member(1, ENGINE, &["m0", "m1"]), member(2, ENGINE, &["m0", "m2"])];
     let mut bench = Bench::new(members);
     bench.step(EntryEvent::Side(address(1), busy(&[("m0", 10), ("m1", 1)])));
     bench.now += 2_500;
     bench.step(EntryEvent::Side(address(2), busy(&[("m0", 10), ("m2", 1)])));
-    let (_, effects) = bench.ask("/draft/x", "m7");
-    let (at, want) = wanted(&effects).unwrap();
+    let (_, effects) = bench.request("/draft/x", "m7");
+    let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!(at, address(2));
-    assert_eq!(want.victims, vec!["m2".to_owned()]);
+    assert_eq!(load_request.victims, vec!["m2".to_owned()]);
 }
 
-/// In a burst of rare models, a replica of a busy model is the cheapest to unload for each of them
-/// alone; unloaded and fetched back by turns, it is away most of the time. It stays while the
-/// remaining replicas would have to carry more than they should.
+/// In a burst of requests for rare models, a replica of a busy model is the cheapest eviction for
+/// each of them alone; if it were evicted and reloaded in turn, it would be missing most of the
+/// time. It stays while the remaining replicas would be overloaded without it.
 #[test]
-fn a_burst_of_rare_models_leaves_busy_ones_alone() {
+fn burst_of_rare_models_does_not_evict_busy_ones() {
     let members = vec![member(1, ENGINE, &["m0", "m1"]), member(2, ENGINE, &["m0", "m2"])];
     let mut bench = Bench::new(members);
     bench.step(EntryEvent::Side(address(1), busy(&[("m0", 20), ("m1", 2)])));
     bench.step(EntryEvent::Side(address(2), busy(&[("m0", 20), ("m2", 2)])));
     for rare in ["m5", "m6", "m7"] {
-        let (_, effects) = bench.ask("/draft/x", rare);
-        if let Some((_, want)) = wanted(&effects) {
-            assert!(!want.victims.contains(&"m0".to_owned()), "{rare} pushes out m0");
+        let (_, effects) = bench.request("/draft/x", rare);
+        if let Some((_, load_request)) = requested_load(&effects) {
+            assert!(!load_request.victims.contains(&"m0".to_owned()), "{rare} evicts m0");
         }
     }
 }
 
-/// After a loss of power no endpoint has copies, and every model is asked for. The weight store
-/// carries a few loads at full speed; twelve at once were measured to take three times as long and
-/// to hold up as many endpoints. Further loads wait for their turn.
+/// After a power loss no endpoint has cached weights, and every model is requested. The weight
+/// store serves a few loads at full speed; twelve at once take three times as long and block as
+/// many endpoints. Further loads wait for their turn.
 #[test]
 fn loads_from_the_weight_store_are_bounded() {
     let mut members = (1..=9).map(|index| member(index, ENGINE, &[])).collect::<Vec<_>>();
@@ -94,339 +98,351 @@
     let mut loading = 0;
     for index in 0..9 {
         let name = format!("m{index}");
-        let (_, effects) = bench.ask("/draft/x", &name);
-        if let Some((at, want)) = wanted(&effects) {
-            let told = SideState {
-                loading: vec![want.model.clone()],
+        let (_, effects) = bench.request("/draft/x", &name);
+        if let Some((at, load_request)) = requested_load(&effects) {
+            let state = SideState {
+                loading: vec![load_request.model.clone()],
                 store_loads: 1,
                 busy_ms: 6_000,
                 ..empty()
             };
             loading += 1;
-            bench.step(EntryEvent::Side(at, told));
+            bench.step(EntryEvent::Side(at, state));
         }
     }
-    assert_eq!(loading, 1, "one at once for rare models on nine engines");
-    let asked = (0..12).filter_map(|_| {
-        let (_, effects) = bench.ask("/draft/x", "m9");
-        wanted(&effects).map(|(_, want)| want.model.clone())
+    assert_eq!(loading, 1, "one load at a time for rare models on nine engines");
+    let requested = (0..12).filter_map(|_| {
+        let (_, effects) = bench.request("/draft/x", "m9");
+        requested_load(&effects).map(|(_, load_request)| load_request.model.clone())
     });
-    let asked = asked.collect::<Vec<_>>();
-    assert_eq!(asked, vec!["m9".to_owned()], "a model that many wait for has its place");
+    let requested = requested.collect::<Vec<_>>();
+    assert_eq!(
+        requested,
+        vec!["m9".to_owned()],
+        "a model with many waiting requests is loaded too"
+    );
 }
 
-/// A request has less time left than its model needs to come. It is refused at once and not held;
-/// the model is still fetched, for those who come after.
+/// A request has less time left than its model needs to load. It is refused at once and not held;
+/// the model is still loaded, for later requests.
 #[test]
-fn what_cannot_come_in_time_is_refused_at_once() {
-    let mut far = member(1, ENGINE, &["m0"]);
-    far.on_disk.clear();
-    let mut bench = Bench::new(vec![far]);
-    let told = SideState { on_disk: Vec::new(), ..state(1, &["m0"]) };
-    bench.step(EntryEvent::Side(address(1), told));
-    let (_, effects) = bench.ask("/chat/x", "m5");
+fn request_is_refused_at_once_if_its_model_cannot_load_in_time() {
+    let mut uncached = member(1, ENGINE, &["m0"]);
+    uncached.on_disk.clear();
+    let mut bench = Bench::new(vec![uncached]);
+    let state = SideState { on_disk: Vec::new(), ..state(1, &["m0"]) };
+    bench.step(EntryEvent::Side(address(1), state));
+    let (_, effects) = bench.request("/chat/x", "m5");
     let (reason, retry_ms) = refusal(&effects).unwrap();
     assert_eq!(reason, Reason::TooFar);
     assert!(retry_ms.is_some());
-    assert_eq!(wanted(&effects).unwrap().1.model, "m5");
+    assert_eq!(requested_load(&effects).unwrap().1.model, "m5");
 }
 
-/// A side's plan is full and it declines an adapter. Asked again with every event, it got 8,266
-/// messages in three seconds; the entry pauses instead.
+/// A side with a full plan declines an adapter. Repeating the load request on every event sent it
+/// 8,266 messages in three seconds; the entry pauses instead.
 #[test]
-fn a_declined_adapter_is_not_asked_for_at_once() {
+fn declined_adapter_is_requested_after_a_pause() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
     bench.step(EntryEvent::Side(address(1), state(1, &["m0"])));
-    let (_, effects) = bench.ask("/draft/x", "m0/a1");
-    assert_eq!(wanted(&effects).unwrap().1.adapter, "a1");
+    let (_, effects) = bench.request("/draft/x", "m0/a1");
+    assert_eq!(requested_load(&effects).unwrap().1.adapter, "a1");
     let declined = ModelName { model: "m0".to_owned(), adapter: "a1".to_owned() };
     bench.step(EntryEvent::Declined(address(1), declined));
     for _ in 0..4 {
-        assert!(wanted(&bench.wait(20)).is_none());
+        assert!(requested_load(&bench.advance(20)).is_none());
         let effects = bench.step(EntryEvent::Side(address(1), state(1, &["m0"])));
-        assert!(wanted(&effects).is_none());
+        assert!(requested_load(&effects).is_none());
     }
-    assert!(wanted(&bench.wait(300)).is_some(), "after the pause it is asked again");
+    assert!(requested_load(&bench.advance(300)).is_some(), "requested again after the pause");
 }
 
-/// Demand moves to a model with one replica. While that one is slow to answer, another is fetched.
+/// Demand shifts to a model with one replica. While that replica is slow to respond, another one is
+/// loaded.
 #[test]
-fn a_strained_model_gets_another_replica() {
+fn overloaded_model_gets_another_replica() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
     bench.step(EntryEvent::Side(address(1), busy(&[("m0", 30)])));
     bench.step(EntryEvent::Side(address(2), state(1, &["m1"])));
     for _ in 0..26 {
-        bench.ask("/chat/x", "m0");
+        bench.request("/chat/x", "m0");
     }
-    let effects = bench.wait(20);
-    let (at, want) = wanted(&effects).unwrap();
-    assert_eq!((at, want.model.as_str()), (address(2), "m0"));
+    let effects = bench.advance(20);
+    let (at, load_request) = requested_load(&effects).unwrap();
+    assert_eq!((at, load_request.model.as_str()), (address(2), "m0"));
 }
 
-/// Demand moves to a model that no endpoint holds. Ten requests a second wait for it; when it has
-/// come, its side has counted none of them yet, and a single request for a rare model would push it
-/// out again. What callers asked for counts as demand, whether it was served or not.
+/// Demand shifts to a model that no endpoint has loaded, and ten requests a second wait for it.
+/// When it is loaded, its side has counted none of them yet, and a single request for a rare model
+/// would evict it again. Requests count as demand whether they were served or not.
 #[test]
-fn a_model_that_was_away_counts_as_asked_for() {
+fn unserved_requests_count_as_demand() {
     let members = vec![member(1, ENGINE, &["m2", "m3"]), member(2, ENGINE, &["m1", "m4"])];
     let mut bench = Bench::new(members);
     bench.step(EntryEvent::Side(address(1), busy(&[("m2", 1), ("m3", 1)])));
     bench.step(EntryEvent::Side(address(2), busy(&[("m1", 1), ("m4", 1)])));
     for _ in 0..10 {
-        bench.ask("/chat/x", "m0");
+        bench.request("/chat/x", "m0");
     }
     bench.step(EntryEvent::Side(address(1), busy(&[("m0", 0), ("m3", 1)])));
-    let (_, effects) = bench.ask("/draft/x", "m7");
-    let (_, want) = wanted(&effects).unwrap();
-    assert!(!want.victims.contains(&"m0".to_owned()), "{:?}", want.victims);
+    let (_, effects) = bench.request("/draft/x", "m7");
+    let (_, load_request) = requested_load(&effects).unwrap();
+    assert!(!load_request.victims.contains(&"m0".to_owned()), "{:?}", load_request.victims);
 }
 
-/// An endpoint crashed and is up again under another name, which the list does not have yet. Its
-/// side has: models are fetched to the new start at once, and the old name, which the list repeats
-/// for a while, does not come back.
+/// An endpoint crashed and restarted under a new name that its side knows but the member list does
+/// not. Models are loaded at the new incarnation at once, and the old name, which the member list
+/// repeats for a while, does not come back.
 #[test]
-fn a_restarted_endpoint_is_used_before_the_list_names_it() {
+fn restarted_endpoint_is_used_before_it_is_listed() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
     bench.step(EntryEvent::Side(address(1), state(3, &["m0"])));
-    let again = SideState { instance: "i1-b".to_owned(), ..state(0, &[]) };
-    bench.step(EntryEvent::Side(address(1), again.clone()));
-    bench.list(2, vec![member(1, ENGINE, &["m0"])]);
-    let (_, effects) = bench.ask("/draft/x", "m5");
-    assert_eq!(wanted(&effects).unwrap().1.instance, "i1-b");
-    let there = SideState { instance: "i1-b".to_owned(), ..state(1, &["m5"]) };
-    let effects = bench.step(EntryEvent::Side(address(1), there));
-    assert_eq!(sending(&effects).unwrap().instance, "i1-b");
-    // Once listed, the new start leaves like any other.
+    let restarted = SideState { instance: "i1-b".to_owned(), ..state(0, &[]) };
+    bench.step(EntryEvent::Side(address(1), restarted.clone()));
+    bench.set_members(2, vec![member(1, ENGINE, &["m0"])]);
+    let (_, effects) = bench.request("/draft/x", "m5");
+    assert_eq!(requested_load(&effects).unwrap().1.instance, "i1-b");
+    let loaded_state = SideState { instance: "i1-b".to_owned(), ..state(1, &["m5"]) };
+    let effects = bench.step(EntryEvent::Side(address(1), loaded_state));
+    assert_eq!(dispatch(&effects).unwrap().instance, "i1-b");
+    // Once listed, the new incarnation leaves like any other.
     let leaving = Member { instance: "i1-b".to_owned(), leaving: true, ..member(1, ENGINE, &[]) };
-    bench.list(3, vec![leaving]);
-    let (_, effects) = bench.ask("/draft/x", "m5");
-    assert!(sending(&effects).is_none());
+    bench.set_members(3, vec![leaving]);
+    let (_, effects) = bench.request("/draft/x", "m5");
+    assert!(dispatch(&effects).is_none());
 }
 
-/// An address is used again by an endpoint of another service. What its side says must not make it
-/// an endpoint of the first: requests would be run by a service that they were not meant for.
+/// An endpoint of another service reuses an address. The report of its side must not make it an
+/// endpoint of the first service, or it would receive requests not meant for it.
 #[test]
-fn a_side_of_another_service_names_no_endpoint() {
+fn side_of_another_service_does_not_rename_an_endpoint() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
     let other =
         SideState { instance: "x1".to_owned(), service: "other".to_owned(), ..state(0, &["m0"]) };
     bench.step(EntryEvent::Side(address(1), other));
-    let (_, effects) = bench.ask("/chat/x", "m0");
-    assert_eq!(sending(&effects).unwrap().instance, "i1");
+    let (_, effects) = bench.request("/chat/x", "m0");
+    assert_eq!(dispatch(&effects).unwrap().instance, "i1");
 }
 
-/// Fifty requests a second come for a model with two replicas of 24 slots. Their slots are all but
-/// taken, and a small swell would make everybody late: a third replica is fetched before that, though
-/// another model in demand makes way for it. Not so while two carry them.
+/// Fifty requests a second go to a model with two replicas of 24 slots. With nearly all slots
+/// taken, a small increase would delay every request. A third replica is loaded before that, even
+/// if another model in demand is evicted for it, but not while two replicas suffice.
 #[test]
-fn a_replica_is_added_before_the_slots_are_taken() {
+fn replica_is_added_before_the_slots_are_full() {
     let full = member(3, ENGINE, &["m1", "m2"]);
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"]), full]);
     bench.step(EntryEvent::Side(address(3), busy(&[("m1", 2), ("m2", 2)])));
     bench.step(EntryEvent::Side(address(2), busy(&[("m0", 18)])));
     bench.step(EntryEvent::Side(address(1), busy(&[("m0", 18)])));
-    assert!(wanted(&bench.wait(20)).is_none(), "two carry 36");
+    assert!(requested_load(&bench.advance(20)).is_none(), "two replicas suffice for 36");
     bench.step(EntryEvent::Side(address(1), busy(&[("m0", 32)])));
-    let effects = bench.wait(20);
-    let (at, want) = wanted(&effects).unwrap();
-    assert_eq!((at, want.model.as_str()), (address(3), "m0"));
+    let effects = bench.advance(20);
+    let (at, load_request) = requested_load(&effects).unwrap();
+    assert_eq!((at, load_request.model.as_str()), (address(3), "m0"));
 }
 
-/// The instance with the only replica of a model with eight requests a second loses power, and with it
-/// the only copy on a disk nearby. Callers were refused for six seconds, the time of a load from the
-/// weight store; such a model has a second replica before that.
+/// The instance with the only replica of a model with eight requests a second loses power, and with
+/// it the only nearby disk with cached weights. Requests were refused for the six seconds of a load
+/// from the weight store. Such a model gets a second replica in advance.
 #[test]
-fn a_model_in_demand_has_a_spare_replica() {
+fn model_in_demand_has_a_spare_replica() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
     bench.step(EntryEvent::Side(address(2), busy(&[("m1", 1)])));
     bench.step(EntryEvent::Side(address(1), busy(&[("m0", 8)])));
-    let effects = bench.wait(20);
-    let (at, want) = wanted(&effects).unwrap();
-    assert_eq!((at, want.model.as_str()), (address(2), "m0"));
-    assert!(want.victims.is_empty());
+    let effects = bench.advance(20);
+    let (at, load_request) = requested_load(&effects).unwrap();
+    assert_eq!((at, load_request.model.as_str()), (address(2), "m0"));
+    assert!(load_request.victims.is_empty());
     bench.step(EntryEvent::Side(address(2), busy(&[("m1", 1), ("m0", 0)])));
-    assert!(wanted(&bench.wait(1_000)).is_none(), "one spare is enough");
+    assert!(requested_load(&bench.advance(1_000)).is_none(), "one spare replica is enough");
 }
 
-/// All instances have lost power and no endpoint holds anything. Ten requests a second come for one
-/// model: it needs two replicas, and both are fetched at once instead of one after the other.
+/// All instances lost power and no model is loaded. A model with ten requests a second needs two
+/// replicas; both are loaded at the same time instead of one after the other.
 #[test]
-fn replicas_of_a_model_that_is_away_come_together() {
+fn replicas_of_a_missing_model_are_loaded_concurrently() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &[]), member(2, ENGINE, &[])]);
     bench.step(EntryEvent::Side(address(1), state(0, &[])));
     bench.step(EntryEvent::Side(address(2), state(0, &[])));
-    let (_, effects) = bench.ask("/chat/x", "m0");
-    let (first, _) = wanted(&effects).unwrap();
+    let (_, effects) = bench.request("/chat/x", "m0");
+    let (first, _) = requested_load(&effects).unwrap();
     for _ in 0..9 {
-        bench.ask("/chat/x", "m0");
-        bench.wait(20);
+        bench.request("/chat/x", "m0");
+        bench.advance(20);
     }
-    let coming = SideState { loading: vec!["m0".to_owned()], ..state(0, &[]) };
-    bench.step(EntryEvent::Side(first, coming));
-    bench.wait(100);
-    let there = SideState { ..state(1, &["m0"]) };
-    let effects = [bench.step(EntryEvent::Side(first, there)), bench.wait(40)].concat();
-    let (second, want) = wanted(&effects).unwrap();
-    assert_eq!(want.model, "m0");
+    let loading_state = SideState { loading: vec!["m0".to_owned()], ..state(0, &[]) };
+    bench.step(EntryEvent::Side(first, loading_state));
+    bench.advance(100);
+    let loaded_state = SideState { ..state(1, &["m0"]) };
+    let effects = [bench.step(EntryEvent::Side(first, loaded_state)), bench.advance(40)].concat();
+    let (second, load_request) = requested_load(&effects).unwrap();
+    assert_eq!(load_request.model, "m0");
     assert_ne!(second, first);
 }
 
-/// All instances have power again and an entry hears of one side first. The model that callers wait
-/// for lies on the disk of another instance, whose side is heard a moment later: it is fetched there
-/// within a second, and not from the weight store in six.
+/// After a power loss, an entry receives one side's report first. The weights of a requested model
+/// are cached on the disk of another instance, whose side reports a moment later: the model loads
+/// there within a second, and not from the weight store in six.
 #[test]
-fn a_copy_that_is_about_to_be_heard_is_waited_for() {
+fn load_waits_briefly_for_a_side_that_may_report_cached_weights() {
     let bare = |index| Member { on_disk: Vec::new(), ..member(index, ENGINE, &[]) };
     let mut bench = Bench::new(vec![bare(1), member(2, ENGINE, &[])]);
     bench.step(EntryEvent::Side(address(1), SideState { on_disk: Vec::new(), ..state(0, &[]) }));
-    let (_, effects) = bench.ask("/draft/x", "m5");
-    assert!(wanted(&effects).is_none() && refusal(&effects).is_none(), "{effects:?}");
+    let (_, effects) = bench.request("/draft/x", "m5");
+    assert!(requested_load(&effects).is_none() && refusal(&effects).is_none(), "{effects:?}");
     let effects = bench.step(EntryEvent::Side(address(2), state(0, &[])));
-    assert_eq!(wanted(&effects).unwrap().0, address(2));
+    assert_eq!(requested_load(&effects).unwrap().0, address(2));
 }
 
-/// The side of the instance with the copy does not come. The request is not held for it: after a
-/// moment the model is loaded from the weight store.
+/// The side of the instance with the cached weights does not report. After a short wait the model
+/// is loaded from the weight store.
 #[test]
-fn a_copy_that_is_not_heard_holds_nothing_up() {
+fn load_does_not_wait_long_for_a_missing_side() {
     let bare = |index| Member { on_disk: Vec::new(), ..member(index, ENGINE, &[]) };
     let mut bench = Bench::new(vec![bare(1), member(2, ENGINE, &[])]);
     bench.step(EntryEvent::Side(address(1), SideState { on_disk: Vec::new(), ..state(0, &[]) }));
-    bench.ask("/draft/x", "m5");
-    bench.wait(1_000);
+    bench.request("/draft/x", "m5");
+    bench.advance(1_000);
     bench.step(EntryEvent::Side(address(1), SideState { on_disk: Vec::new(), ..state(0, &[]) }));
-    let effects = bench.wait(400);
-    assert_eq!(wanted(&effects).unwrap().0, address(1));
+    let effects = bench.advance(400);
+    assert_eq!(requested_load(&effects).unwrap().0, address(1));
 }
 
-/// Two entries get requests for the same model within milliseconds, and the side that the other one
-/// asked is loading it already. It is waited for: a second load would take another engine's time, or
-/// the weight store's, for the same callers.
+/// Two entries get requests for the same model within milliseconds, and a side is already loading
+/// it for the other entry. A second load for the same callers would occupy another engine or the
+/// weight store.
 #[test]
-fn a_model_on_its_way_for_others_is_waited_for() {
+fn load_requested_by_another_entry_is_waited_for() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
-    let coming = |busy_ms| {
+    let loading_state = |busy_ms| {
         let loading = vec!["m5".to_owned()];
         EntryEvent::Side(address(1), SideState { loading, busy_ms, ..state(1, &["m0"]) })
     };
-    bench.step(coming(700));
+    bench.step(loading_state(700));
     bench.step(EntryEvent::Side(address(2), state(1, &["m1"])));
-    let (_, effects) = bench.ask("/draft/x", "m5");
-    assert!(wanted(&effects).is_none() && refusal(&effects).is_none(), "{effects:?}");
+    let (_, effects) = bench.request("/draft/x", "m5");
+    assert!(requested_load(&effects).is_none() && refusal(&effects).is_none(), "{effects:?}");
     let effects = bench.step(EntryEvent::Side(address(1), state(2, &["m0", "m5"])));
-    assert_eq!(sending(&effects).unwrap().instance, "i1");
-    // From the weight store it would take six seconds, and the other endpoint has a copy.
+    assert_eq!(dispatch(&effects).unwrap().instance, "i1");
+    // The weight store would take six seconds, and the other endpoint has the weights cached.
     bench.step(EntryEvent::Side(address(1), state(3, &["m0"])));
-    bench.step(coming(6_000));
-    let (_, effects) = bench.ask("/draft/x", "m5");
-    assert_eq!(wanted(&effects).unwrap().0, address(2));
+    bench.step(loading_state(6_000));
+    let (_, effects) = bench.request("/draft/x", "m5");
+    assert_eq!(requested_load(&effects).unwrap().0, address(2));
 }
 
-/// A rare model can go to an endpoint that answers twenty requests a second with adapters, or to one
-/// that answers one. While it is loaded no adapter is, so it goes where fewer wait for that.
+/// A rare model can be loaded at an endpoint with twenty requests a second that use adapters, or at
+/// one with one request a second. A model load blocks adapter loads, so it goes where fewer
+/// requests wait for one.
 #[test]
-fn models_are_loaded_where_least_is_asked_for() {
+fn models_are_loaded_where_demand_is_lowest() {
     for (first, second, at) in [(20, 1, 2), (1, 20, 1)] {
         let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])];
         let mut bench = Bench::new(members);
         bench.step(EntryEvent::Side(address(1), busy(&[("m0", first)])));
         bench.step(EntryEvent::Side(address(2), busy(&[("m1", second)])));
-        let (_, effects) = bench.ask("/draft/x", "m7");
-        assert_eq!(wanted(&effects).unwrap().0, address(at));
+        let (_, effects) = bench.request("/draft/x", "m7");
+        assert_eq!(requested_load(&effects).unwrap().0, address(at));
     }
 }
 
-/// Two endpoints hold a model, and one of them has just begun to load another for a second. An adapter
-/// goes to the one that is free, from every entry and whichever of them it leans to.
+/// Two endpoints hold a model, and one of them has just begun to load another model, which takes a
+/// second. The adapter is loaded at the idle one, whichever holder the entry prefers otherwise.
 #[test]
-fn an_adapter_goes_to_a_holder_that_is_free() {
+fn adapter_is_loaded_at_an_idle_holder() {
     for (busy, free) in [(1, 2), (2, 1)] {
         let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
         let mut bench = Bench::new(members);
         let loading = SideState { order_ms: 900, ..state(1, &["m0"]) };
         bench.step(EntryEvent::Side(address(busy), loading));
         bench.step(EntryEvent::Side(address(free), state(1, &["m0"])));
-        let (_, effects) = bench.ask("/chat/x", "m0/a3");
-        assert_eq!(wanted(&effects).unwrap().0, address(free));
+        let (_, effects) = bench.request("/chat/x", "m0/a3");
+        assert_eq!(requested_load(&effects).unwrap().0, address(free));
     }
 }
 
-/// Twenty requests a second go to a model of which one instance has the only copy. When that one is
-/// taken away, a load from the weight store takes six seconds, in which all of them are refused. So a
-/// second copy is fetched from the store at once, dear as that is.
+/// A model has twenty requests a second and one instance has its only cached weights. Without that
+/// instance, a load from the weight store takes six seconds, in which all requests are refused. A
+/// second copy is therefore loaded from the weight store at once, despite the cost.
 #[test]
-fn a_sole_copy_of_a_busy_model_gets_a_second() {
+fn only_copy_of_a_busy_model_gets_a_second() {
     let bare =
         |index, models: &[&str]| Member { on_disk: Vec::new(), ..member(index, ENGINE, models) };
-    let told = |rates: &[(&str, u32)]| SideState { on_disk: Vec::new(), ..busy(rates) };
+    let state_of = |rates: &[(&str, u32)]| SideState { on_disk: Vec::new(), ..busy(rates) };
     let mut bench = Bench::new(vec![bare(1, &["m0"]), bare(2, &["m1", "m2"])]);
-    bench.step(EntryEvent::Side(address(2), told(&[("m1", 1), ("m2", 1)])));
-    bench.step(EntryEvent::Side(address(1), told(&[("m0", 20)])));
-    let effects = bench.wait(20);
-    let (at, want) = wanted(&effects).unwrap();
-    assert_eq!((at, want.model.as_str()), (address(2), "m0"));
+    bench.step(EntryEvent::Side(address(2), state_of(&[("m1", 1), ("m2", 1)])));
+    bench.step(EntryEvent::Side(address(1), state_of(&[("m0", 20)])));
+    let effects = bench.advance(20);
+    let (at, load_request) = requested_load(&effects).unwrap();
+    assert_eq!((at, load_request.model.as_str()), (address(2), "m0"));
 }
 
-/// An endpoint that has copies only of what it holds, and what its side says.
-fn alone(index: u8, rates: &[(&str, u32)]) -> (Member, SideState) {
+/// An endpoint that caches only the weights of its loaded models, and the state its side reports.
+fn bare_endpoint(index: u8, rates: &[(&str, u32)]) -> (Member, SideState) {
     let names = rates.iter().map(|(name, _)| *name).collect::<Vec<_>>();
-    (bare(index, &names), told(rates))
+    (bare(index, &names), state_with_rates(rates))
 }
 
-/// An entry that hears of these endpoints, and what it does in the tenth of a second after that.
-fn first_moves(pool: Vec<(Member, SideState)>) -> Vec<EntryEffect> {
-    let (members, told): (Vec<_>, Vec<_>) = pool.into_iter().unzip();
-    let addresses = members.iter().map(|one| one.address).collect::<Vec<_>>();
+/// Returns the effects of an entry within 100 ms after it has received the state of these
+/// endpoints.
+fn initial_effects(pool: Vec<(Member, SideState)>) -> Vec<EntryEffect> {
+    let (members, states): (Vec<_>, Vec<_>) = pool.into_iter().unzip();
+    let addresses = members.iter().map(|member| member.address).collect::<Vec<_>>();
     let mut bench = Bench::new(members);
-    for (address, state) in addresses.into_iter().zip(told) {
+    for (address, state) in addresses.into_iter().zip(states) {
         bench.step(EntryEvent::Side(address, state));
     }
-    bench.wait(100)
+    bench.advance(100)
 }
 
-/// Seven requests a second want a model that one instance holds, and no other has a copy. The weight
-/// store stands idle, yet no second replica comes, and when that instance stands still all callers of
-/// the model hang (22 of 27 streams, each `event=sent ... able=1`). Cause: the six seconds of the load
-/// counted as time that callers wait, though the first replica serves them meanwhile.
+/// A model with seven requests a second is loaded at one instance, and no other has its weights
+/// cached. No second replica was loaded although the weight store was idle, and all callers of the
+/// model hung when that instance stalled (22 of 27 streams, each `event=sent ... able=1`). The six
+/// seconds of the load counted as waiting time of callers, although the first replica served them
+/// meanwhile.
 #[test]
-fn a_busy_model_gets_a_second_replica_from_an_idle_store() {
-    let others = [alone(2, &[("m1", 4)]), alone(3, &[("m2", 4)])];
-    let effects = first_moves([vec![alone(1, &[("m0", 7)])], others.to_vec()].concat());
-    let (at, want) = wanted(&effects).expect("a second replica is asked for");
-    assert_eq!(want.model, "m0");
+fn busy_model_gets_a_second_replica_from_an_idle_store() {
+    let others = [bare_endpoint(2, &[("m1", 4)]), bare_endpoint(3, &[("m2", 4)])];
+    let effects = initial_effects([vec![bare_endpoint(1, &[("m0", 7)])], others.to_vec()].concat());
+    let (at, load_request) = requested_load(&effects).expect("a second replica is requested");
+    assert_eq!(load_request.model, "m0");
     assert_ne!(at, address(1));
 }
 
-/// Most streams of a service want one model, which two instances hold and carry well. One of them stands
-/// still: half of all callers hang until they leave, and their runs go on there unheard. A third instance
-/// has room and a copy, so that a third replica costs nobody anything. Cause: replicas were counted by
-/// what they can carry, never by how many callers are lost with one of them.
+/// Most streams of a service use one model, which two instances serve without overload. When one of
+/// them stalls, half of all callers hang until they leave, and their runs continue there. A third
+/// instance has free memory and cached weights, so a third replica costs nothing. Replicas were
+/// sized by capacity only, not by the callers lost with one of them.
 #[test]
-fn a_replica_comes_where_many_would_hang_with_one() {
+fn replica_is_added_where_many_streams_depend_on_one() {
     let busy_model = [("m0", 10)];
     let spare = member(3, ENGINE, &[]);
-    let pool = vec![alone(1, &busy_model), alone(2, &busy_model), (spare, state(1, &[]))];
-    let effects = first_moves(pool);
-    let (at, want) = wanted(&effects).expect("a third replica is asked for");
-    assert_eq!((at, want.model.as_str()), (address(3), "m0"));
-    assert!(want.victims.is_empty());
+    let pool =
+        vec![bare_endpoint(1, &busy_model), bare_endpoint(2, &busy_model), (spare, state(1, &[]))];
+    let effects = initial_effects(pool);
+    let (at, load_request) = requested_load(&effects).expect("a third replica is requested");
+    assert_eq!((at, load_request.model.as_str()), (address(3), "m0"));
+    assert!(load_request.victims.is_empty());
 }
 
-/// The same, but the third instance is full of models that callers ask for: to push one of them out
-/// would cost more callers than a standstill does by chance.
+/// The same, but the third instance is full of models in demand: evicting one of them would cost
+/// more callers than the possible stall.
 #[test]
-fn a_replica_against_standstills_pushes_out_nothing_in_demand() {
+fn replica_against_stalls_evicts_no_model_in_demand() {
     let busy_model = [("m0", 10)];
     let full = [("m1", 2), ("m2", 2)];
-    let (full, mut told) = alone(3, &full);
-    told.on_disk.push("m0".to_owned());
-    let pool = vec![alone(1, &busy_model), alone(2, &busy_model), (full, told)];
-    let effects = first_moves(pool);
-    let asked = effects.iter().filter_map(|effect| wanted(std::slice::from_ref(effect)));
-    assert!(asked.into_iter().all(|(_, want)| want.model != "m0"));
+    let (full, mut full_state) = bare_endpoint(3, &full);
+    full_state.on_disk.push("m0".to_owned());
+    let pool =
+        vec![bare_endpoint(1, &busy_model), bare_endpoint(2, &busy_model), (full, full_state)];
+    let effects = initial_effects(pool);
+    let requested =
+        effects.iter().filter_map(|effect| requested_load(std::slice::from_ref(effect)));
+    assert!(requested.into_iter().all(|(_, load_request)| load_request.model != "m0"));
 }
 
-/// Instances with 96 slots in these zones that all hold `m0`, as an entry in zone `a` hears them.
+/// Instances with 96 slots in the given zones that all have `m0` loaded, seen by an entry in zone
+/// `a`.
 fn wide_holders(zones: &[&str]) -> Bench {
     let wide = |(index, zone): (u8, &&str)| Member {
         slots: 96,
@@ -434,7 +450,7 @@
         ..member(index, ENGINE, &["m0"])
     };
     let members = (1..).zip(zones).map(wide).collect::<Vec<_>>();
-    let addresses = members.iter().map(|one| one.address).collect::<Vec<_>>();
+    let addresses = members.iter().map(|member| member.address).collect::<Vec<_>>();
     let mut bench = Bench::new(members);
     for address in addresses {
         bench.step(EntryEvent::Side(address, state(1, &["m0"])));
@@ -442,28 +458,29 @@
     bench
 }
 
-/// How many of so many streams for `m0` go to the first instance; none of them ends.
+/// Returns how many of `streams` streams for `m0` go to the first instance; none of them ends.
 fn sent_to_first(bench: &mut Bench, streams: u32) -> usize {
     let instances = (0..streams).map(|_| {
-        let (_, effects) = bench.ask("/draft/x", "m0");
-        sending(&effects).unwrap().instance.clone()
+        let (_, effects) = bench.request("/draft/x", "m0");
+        dispatch(&effects).unwrap().instance.clone()
     });
     instances.filter(|instance| instance == "i1").count()
 }
 
-/// Two instances hold the model of all callers, and the entry is in the zone of one. Engines take a hundred
-/// requests at once, so that none looks full, and all 24 streams go to the one in the zone. It stands still:
-/// every caller hangs, and those who leave cannot be told there (12 of 24 streams at one endpoint of nine in
-/// the run that showed it, and 5 of 17 runs that went on). Cause: what one endpoint has of all was no cost.
+/// Two instances hold the model of all callers, and the entry is in the zone of one. With a hundred
+/// slots an engine never looks full, so all 24 streams went to the near one. When it stalled, every
+/// caller hung, and runs of callers that left could not be cancelled (12 of 24 streams at one
+/// endpoint of nine, and 5 of 17 runs that continued). The share of all streams at one endpoint had
+/// no cost.
 #[test]
 fn no_holder_gets_nearly_all_streams() {
     let near = sent_to_first(&mut wide_holders(&["a", "b"]), 24);
-    assert!((12..=15).contains(&near), "the near one has a little more: {near} of 24");
+    assert!((12..=15).contains(&near), "slightly more at the near one: {near} of 24");
 }
 
-/// A pool with little to do: the first of three streams is all that runs. It says nothing of how streams are
-/// spread, and the others are not sent to another zone for it.
+/// With little load, the first of three streams is the only one running. This says nothing about
+/// the distribution of streams, and the others must not be sent to another zone because of it.
 #[test]
-fn a_few_streams_stay_in_their_zone() {
+fn few_streams_stay_in_their_zone() {
     assert_eq!(sent_to_first(&mut wide_holders(&["a", "b"]), 3), 3);
 }
--- a/crates/pool/tests/all/resume.rs
+++ b/crates/pool/tests/all/resume.rs
@@ -1,4 +1,4 @@
-//! Streams that go on elsewhere when their endpoint breaks off.
+//! Streams that resume at another endpoint when theirs fails.
 
 use citronrill_pool::{
     AnswerHead, EntryEffect, EntryEvent, FailureKind, Member, RequestId, Resume, Sending,
@@ -7,9 +7,9 @@
 use citronrill_wire::SideState;
 use rstest::rstest;
 
-use crate::support::{Bench, ENGINE, address, member, sending, state};
+use crate::support::{Bench, ENGINE, address, dispatch, member, state};
 
-/// The head of a success.
+/// The head of a successful response.
 const SERVED: AnswerHead = AnswerHead {
     status: 200,
     not_run: false,
@@ -19,30 +19,30 @@
     load: None,
 };
 
-/// An entry with engines that all hold `m0`, and whose sides are heard.
+/// An entry with engines that all have `m0` loaded and whose sides have reported.
 fn bench(engines: u8) -> Bench {
     let mut bench = Bench::new((1..=engines).map(|index| member(index, ENGINE, &["m0"])).collect());
-    hear(&mut bench, engines);
+    report_states(&mut bench, engines);
     bench
 }
 
-fn hear(bench: &mut Bench, engines: u8) {
+fn report_states(bench: &mut Bench, engines: u8) {
     for index in 1..=engines {
         bench.step(EntryEvent::Side(address(index), state(1, &["m0"])));
     }
 }
 
-/// A stream under `path` that its endpoint has begun to answer.
-fn begun(bench: &mut Bench, path: &str) -> (RequestId, Sending) {
-    let (id, effects) = bench.ask(path, "m0");
-    let sent = sending(&effects).unwrap().clone();
+/// Starts a stream on `path`; its endpoint has sent the response head.
+fn start_stream(bench: &mut Bench, path: &str) -> (RequestId, Sending) {
+    let (id, effects) = bench.request(path, "m0");
+    let sent = dispatch(&effects).unwrap().clone();
     bench.step(EntryEvent::Answer(id, sent.number, SERVED));
     (id, sent)
 }
 
-/// Has the entry see that an endpoint is lost: a stream there breaks off.
-fn lose(bench: &mut Bench) {
-    let (id, _) = begun(bench, "/draft/x");
+/// Makes the entry count the loss of an endpoint: a stream breaks off.
+fn lose_stream(bench: &mut Bench) {
+    let (id, _) = start_stream(bench, "/draft/x");
     bench.step(EntryEvent::Broke(id, Some(0)));
 }
 
@@ -50,56 +50,56 @@
     effects.contains(&EntryEffect::Cut(id))
 }
 
-/// An engine crashes in the middle of a caller's stream, which may run once. Another engine has a copy of
-/// its memory: there the same run goes on after the last event that the caller had.
+/// An engine crashes during a stream that may run only once. Another engine has a copy of its KV
+/// cache: the same run resumes there after the last event sent to the caller.
 #[test]
-fn a_stream_goes_on_from_its_copy() {
+fn stream_resumes_from_the_copy_of_its_kv_cache() {
     let mut bench = bench(3);
-    lose(&mut bench);
-    let (id, sent) = begun(&mut bench, "/draft/x");
+    lose_stream(&mut bench);
+    let (id, sent) = start_stream(&mut bench, "/draft/x");
     let backup = sent.backup.unwrap();
     assert_ne!(backup, sent.address);
     let effects = bench.step(EntryEvent::Broke(id, Some(7)));
-    let next = sending(&effects).unwrap();
+    let next = dispatch(&effects).unwrap();
     assert_eq!(next.address, backup);
     assert_eq!(next.resume, Some(Resume { after: Some(7), copy: true }));
     let effects = bench.step(EntryEvent::Answer(id, next.number, SERVED));
     assert!(effects.contains(&EntryEffect::Pass(id)));
 }
 
-/// The same without a copy: a stream that may run once ends there, and its caller sees that it is not
-/// whole. It must not run a second time.
+/// A stream that may run only once breaks off and no copy of its KV cache exists. It must not run a
+/// second time: its response ends there, recognisably truncated.
 #[test]
-fn a_stream_without_a_copy_is_cut() {
+fn stream_without_a_copy_is_cut() {
     let mut bench = bench(3);
-    let (id, sent) = begun(&mut bench, "/draft/x");
-    assert_eq!(sent.backup, None, "nothing has broken off yet");
+    let (id, sent) = start_stream(&mut bench, "/draft/x");
+    assert_eq!(sent.backup, None, "no stream has been lost yet");
     let effects = bench.step(EntryEvent::Broke(id, Some(7)));
-    assert!(is_cut(&effects, id) && sending(&effects).is_none(), "{effects:?}");
+    assert!(is_cut(&effects, id) && dispatch(&effects).is_none(), "{effects:?}");
     assert_eq!(bench.entry.in_hand(), 0);
 }
 
-/// A stream that may be resumed needs no copy: it goes on at any holder of its model after the last event.
+/// A resumable stream needs no copy: it resumes after the last event at any holder of its model.
 #[test]
-fn a_resumable_stream_goes_on_anywhere() {
+fn resumable_stream_resumes_at_any_holder() {
     let mut bench = bench(2);
-    let (id, sent) = begun(&mut bench, "/chat/x");
+    let (id, sent) = start_stream(&mut bench, "/chat/x");
     let effects = bench.step(EntryEvent::Broke(id, Some(3)));
-    let next = sending(&effects).unwrap();
+    let next = dispatch(&effects).unwrap();
     assert_ne!(next.address, sent.address);
     assert_eq!(next.resume, Some(Resume { after: Some(3), copy: false }));
 }
 
-/// An endpoint runs a request and its answer is lost with the connection, before any event. Sent on from
-/// its copy, it ran twice: only what has given an event goes on.
+/// An endpoint runs a request, and the response is lost with the connection before any event. When
+/// such runs were resumed from their copy, requests ran twice. Only runs with an event resume.
 #[rstest]
 #[case(EntryEvent::Fail(RequestId(0), 1, FailureKind::Broken))]
 #[case(EntryEvent::Broke(RequestId(0), None))]
-fn what_has_given_no_event_does_not_go_on(#[case] event: EntryEvent) {
+fn run_without_an_event_is_not_resumed(#[case] event: EntryEvent) {
     let mut bench = bench(3);
-    lose(&mut bench);
-    let (id, effects) = bench.ask("/draft/x", "m0");
-    let sent = sending(&effects).unwrap();
+    lose_stream(&mut bench);
+    let (id, effects) = bench.request("/draft/x", "m0");
+    let sent = dispatch(&effects).unwrap();
     assert!(sent.backup.is_some());
     let effects = match event {
         EntryEvent::Fail(_, number, kind) => bench.step(EntryEvent::Fail(id, number, kind)),
@@ -108,49 +108,50 @@
             bench.step(EntryEvent::Broke(id, None))
         }
     };
-    assert!(sending(&effects).is_none(), "{effects:?}");
+    assert!(dispatch(&effects).is_none(), "{effects:?}");
 }
 
-/// The endpoint where a stream goes on answers with a failure of its own, or has no copy. The caller has
-/// the head of a success: the failure's body was taken for the end of the answer. It is cut instead.
+/// The endpoint at which a stream should resume returns an error or has no copy. The caller already
+/// has a successful head and would take the error's body for the end of the response. The stream is
+/// cut instead.
 #[rstest]
 #[case::fails(AnswerHead { status: 500, signed: true, ..AnswerHead::default() }, "/draft/x")]
 #[case::fails_signed(AnswerHead { status: 404, signed: true, ..AnswerHead::default() }, "/draft/x")]
 #[case::has_no_copy(AnswerHead { status: 503, not_run: true, ..AnswerHead::default() }, "/draft/x")]
 #[case::fails_again(AnswerHead { status: 500, signed: true, ..AnswerHead::default() }, "/chat/x")]
-fn a_failure_does_not_follow_a_success(#[case] head: AnswerHead, #[case] path: &str) {
+fn failure_after_a_successful_head_cuts_the_stream(#[case] head: AnswerHead, #[case] path: &str) {
     let mut bench = bench(3);
-    lose(&mut bench);
-    let (id, _) = begun(&mut bench, path);
+    lose_stream(&mut bench);
+    let (id, _) = start_stream(&mut bench, path);
     let effects = bench.step(EntryEvent::Broke(id, Some(7)));
-    let next = sending(&effects).unwrap();
+    let next = dispatch(&effects).unwrap();
     let effects = bench.step(EntryEvent::Answer(id, next.number, head));
     assert!(!effects.contains(&EntryEffect::Pass(id)), "{effects:?}");
     assert!(is_cut(&effects, id), "{effects:?}");
 }
 
-/// A stream is being taken up elsewhere when its time is up, and an own refusal cannot be said any more:
-/// its answer ends where it is.
+/// A stream reaches its deadline while it is being resumed. Its response has begun, so it cannot be
+/// refused any more: it is cut.
 #[test]
-fn a_stream_that_finds_no_end_is_cut_in_time() {
+fn resuming_stream_is_cut_at_its_deadline() {
     let mut bench = bench(2);
-    let (id, _) = begun(&mut bench, "/chat/x");
+    let (id, _) = start_stream(&mut bench, "/chat/x");
     bench.step(EntryEvent::Broke(id, Some(3)));
-    let effects = bench.wait(5_100);
+    let effects = bench.advance(5_100);
     assert!(is_cut(&effects, id), "{effects:?}");
     assert!(!effects.iter().any(|effect| matches!(effect, EntryEffect::Refuse(..))));
 }
 
-/// Two endpoints break off one after the other under one stream: it goes on from the second copy.
+/// Two endpoints fail in turn during one stream: it also resumes from the second copy.
 #[test]
-fn a_stream_goes_on_twice() {
+fn stream_resumes_twice() {
     let mut bench = bench(4);
-    lose(&mut bench);
-    let (id, _) = begun(&mut bench, "/draft/x");
+    lose_stream(&mut bench);
+    let (id, _) = start_stream(&mut bench, "/draft/x");
     let mut after = 4;
     for _ in 0..2 {
         let effects = bench.step(EntryEvent::Broke(id, Some(after)));
-        let next = sending(&effects).unwrap();
+        let next = dispatch(&effects).unwrap();
         assert_eq!(next.resume, Some(Resume { after: Some(after), copy: true }));
         bench.step(EntryEvent::Answer(id, next.number, SERVED));
         after += 3;
@@ -160,64 +161,66 @@
     assert_eq!(bench.entry.in_hand(), 0);
 }
 
-/// The caller leaves while its stream is being taken up elsewhere: nothing of it is left.
+/// The caller leaves while its stream is being resumed: no state of the request remains.
 #[test]
-fn a_caller_may_leave_meanwhile() {
+fn caller_leaves_during_a_resume() {
     let mut bench = bench(2);
-    let (id, _) = begun(&mut bench, "/chat/x");
+    let (id, _) = start_stream(&mut bench, "/chat/x");
     bench.step(EntryEvent::Broke(id, Some(3)));
     bench.step(EntryEvent::Leave(id));
     assert_eq!(bench.entry.in_hand(), 0);
 }
 
-/// An endpoint is lost, and copies of long prompts would fill those that are left: with all copied, callers
-/// that were late or left outweighed those that were saved. A long answer to a short prompt is copied, as
-/// it is likelier to be cut and costs little; after minutes without another loss, nothing is.
+/// After the loss of an endpoint, copies of long prompts would fill the remaining ones: when all
+/// runs were copied, more callers were late or left than streams were saved. Long responses to
+/// short prompts are copied, as they are more likely to be cut and cost little. Without another
+/// loss for minutes, nothing is copied.
 #[rstest]
 #[case::long_answer(600, 300, true)]
 #[case::long_prompt(9_000, 50, false)]
-fn copies_are_made_where_they_are_worth_it(
+fn kv_cache_is_copied_where_the_benefit_exceeds_the_cost(
     #[case] prompt: u32,
     #[case] answer: u32,
     #[case] copied: bool,
 ) {
     let mut bench = bench(9);
-    lose(&mut bench);
+    lose_stream(&mut bench);
     let tokens = TokenCount { prompt, answer };
-    let (_, effects) = bench.ask_with("/draft/x", "m0", tokens);
-    assert_eq!(sending(&effects).unwrap().backup.is_some(), copied);
-    bench.wait(240_000);
-    hear(&mut bench, 9);
-    let (_, effects) = bench.ask_with("/draft/x", "m0", tokens);
-    assert_eq!(sending(&effects).unwrap().backup, None);
+    let (_, effects) = bench.request_with_tokens("/draft/x", "m0", tokens);
+    assert_eq!(dispatch(&effects).unwrap().backup.is_some(), copied);
+    bench.advance(240_000);
+    report_states(&mut bench, 9);
+    let (_, effects) = bench.request_with_tokens("/draft/x", "m0", tokens);
+    assert_eq!(dispatch(&effects).unwrap().backup, None);
 }
 
-/// An endpoint starts again under its name while none of this entry's streams ran there. Its side says so,
-/// and the entry has the next streams copied all the same.
+/// An endpoint restarts under its name while it runs none of this entry's streams. Its side reports
+/// the restart, and the entry has the KV caches of the next streams copied.
 #[test]
-fn a_restart_that_is_heard_of_counts_as_a_loss() {
-    let told = |index| Member { started: Some(StartTime(1_000)), ..member(index, ENGINE, &["m0"]) };
-    let mut bench = Bench::new((1..=3).map(told).collect());
+fn reported_restart_counts_as_a_loss() {
+    let started_member =
+        |index| Member { started: Some(StartTime(1_000)), ..member(index, ENGINE, &["m0"]) };
+    let mut bench = Bench::new((1..=3).map(started_member).collect());
     let started = |start| SideState { started: Some(start), ..state(1, &["m0"]) };
     for index in 1..=3 {
         bench.step(EntryEvent::Side(address(index), started(1_000)));
     }
-    let (_, sent) = begun(&mut bench, "/draft/x");
+    let (_, sent) = start_stream(&mut bench, "/draft/x");
     assert_eq!(sent.backup, None);
     bench.step(EntryEvent::Side(address(3), started(9_000)));
-    let (_, sent) = begun(&mut bench, "/draft/x");
+    let (_, sent) = start_stream(&mut bench, "/draft/x");
     assert!(sent.backup.is_some());
 }
 
-/// A request's answer is lost, again and again, and no stream is cut: nothing would be saved by copies.
+/// Responses are lost repeatedly, but no stream is cut: copies would save nothing.
 #[test]
-fn lost_answers_are_no_losses_of_endpoints() {
+fn lost_responses_do_not_count_as_lost_endpoints() {
     let mut bench = bench(3);
     for _ in 0..5 {
-        let (id, effects) = bench.ask("/draft/x", "m0");
-        let number = sending(&effects).unwrap().number;
+        let (id, effects) = bench.request("/draft/x", "m0");
+        let number = dispatch(&effects).unwrap().number;
         bench.step(EntryEvent::Fail(id, number, FailureKind::Broken));
     }
-    let (_, sent) = begun(&mut bench, "/draft/x");
+    let (_, sent) = start_stream(&mut bench, "/draft/x");
     assert_eq!(sent.backup, None);
 }
--- a/crates/pool/tests/all/stock.rs
+++ b/crates/pool/tests/all/stock.rs
@@ -1,153 +1,175 @@
-//! Copies of models that go away, and what the weight store brings back first.
+//! Preloading of models that lose their replicas.
 
 use std::sync::Arc;
 
 use citronrill_pool::{EntryEffect, EntryEvent, Member, MemberChange};
 use citronrill_wire::{SideState, Want};
 
-use crate::support::{Bench, address, bare, text, told, wanted};
+use crate::support::{Bench, address, bare, config, requested_load, state_with_rates};
 
-fn wants(effects: &[EntryEffect]) -> Vec<&Want> {
+fn load_requests(effects: &[EntryEffect]) -> Vec<&Want> {
     let mut found = Vec::new();
     for effect in effects {
-        if let EntryEffect::Want(_, want) = effect {
-            found.push(want);
+        if let EntryEffect::Want(_, load_request) = effect {
+            found.push(load_request);
         }
     }
     found
 }
 
-fn row(bench: &mut Bench, version: u64, name: &str, member: Option<Member>) -> Vec<EntryEffect> {
+fn update_row(
+    bench: &mut Bench,
+    version: u64,
+    name: &str,
+    member: Option<Member>,
+) -> Vec<EntryEffect> {
     let rows = vec![(name.to_owned(), member)];
     bench.step(EntryEvent::Members(MemberChange { whole: false, version, rows }))
 }
 
-/// Six endpoints: `m0` at one to three, `m1` at four and five, and the sixth empty. One request in
-/// three seconds asks for `m1`.
+/// Six endpoints: `m0` is loaded at one to three, `m1` at four and five, and the sixth is empty.
+/// `m1` receives one request in three seconds.
 fn pool() -> Bench {
     let held = |index: u8| if index < 4 { "m0" } else { "m1" };
     let mut members = (1..6).map(|index| bare(index, &[held(index)])).collect::<Vec<_>>();
     members.push(bare(6, &[]));
     let mut bench = Bench::new(members);
-    speak(&mut bench);
+    report_all(&mut bench);
     for _ in 0..4 {
-        bench.ask("/draft/x", "m1");
-        bench.ask("/draft/x", "m0");
-        assert!(wants(&bench.wait(1_500)).is_empty());
-        speak(&mut bench);
+        bench.request("/draft/x", "m1");
+        bench.request("/draft/x", "m0");
+        assert!(load_requests(&bench.advance(1_500)).is_empty());
+        report_all(&mut bench);
     }
     bench
 }
 
-/// All sides say what they hold.
-fn speak(bench: &mut Bench) {
+/// All sides report their state.
+fn report_all(bench: &mut Bench) {
     for index in 1..6 {
         let held = if index < 4 { ("m0", 1) } else { ("m1", 0) };
-        bench.step(EntryEvent::Side(address(index), told(&[held])));
+        bench.step(EntryEvent::Side(address(index), state_with_rates(&[held])));
     }
-    bench.step(EntryEvent::Side(address(6), told(&[])));
+    bench.step(EntryEvent::Side(address(6), state_with_rates(&[])));
 }
 
-/// Endpoints are replaced, and each new one comes with an empty disk. The last copies of a model that is
-/// asked for every few seconds go away; its next caller waited six seconds for the weight store, which
-/// had stood idle. Now the model is brought to the empty endpoint before anybody misses it.
+/// Endpoints are replaced, and the new ones start with an empty disk. A model with a request every
+/// few seconds loses its last replicas; its next caller waited six seconds for the weight store,
+/// which had been idle. The model is preloaded at the empty endpoint before the next request.
 #[test]
-fn a_model_whose_copies_leave_is_brought_in_before_it_is_missed() {
+fn model_that_loses_all_replicas_is_preloaded() {
     let mut bench = pool();
     for (version, index) in [(2, 4u8), (3, 5)] {
         let leaving = Member { leaving: true, ..bare(index, &["m1"]) };
-        row(&mut bench, version, &format!("i{index}"), Some(leaving));
+        update_row(&mut bench, version, &format!("i{index}"), Some(leaving));
     }
-    speak(&mut bench);
-    let effects = bench.wait(300);
-    let (at, want) = wanted(&effects).unwrap();
-    assert_eq!((at, want.model.as_str(), want.waiting), (address(6), "m1", 0));
-    assert!(want.victims.is_empty(), "nothing makes way for it");
-    assert_eq!(wants(&effects).len(), 1, "it is asked for once");
+    report_all(&mut bench);
+    let effects = bench.advance(300);
+    let (at, load_request) = requested_load(&effects).unwrap();
+    assert_eq!((at, load_request.model.as_str(), load_request.waiting), (address(6), "m1", 0));
+    assert!(load_request.victims.is_empty(), "nothing is evicted for it");
+    assert_eq!(load_requests(&effects).len(), 1, "it is requested once");
 }
 
-/// While nobody leaves, nothing is brought in: a load is paid for, and holds its endpoint up.
+/// Without leaving endpoints nothing is preloaded, because a load costs money and blocks its
+/// endpoint.
 #[test]
-fn in_calm_nothing_is_brought_in() {
+fn nothing_is_preloaded_while_replicas_stay() {
     let mut bench = pool();
     for _ in 0..5 {
-        speak(&mut bench);
-        assert!(wants(&bench.wait(400)).is_empty());
+        report_all(&mut bench);
+        assert!(load_requests(&bench.advance(400)).is_empty());
     }
 }
 
-/// A model of which nobody asked for the last minutes has lost its copies. It is left alone: the store
-/// is for what callers will miss.
+/// A model without requests in the last minutes loses its replicas. It is not preloaded; the weight
+/// store serves models with demand.
 #[test]
-fn what_nobody_asks_for_is_not_brought_back() {
+fn model_without_recent_requests_is_not_preloaded() {
     let mut bench = pool();
     bench.now += 400_000;
     for (version, index) in [(2, 4u8), (3, 5)] {
-        row(&mut bench, version, &format!("i{index}"), None);
+        update_row(&mut bench, version, &format!("i{index}"), None);
     }
-    speak(&mut bench);
-    assert!(wants(&bench.wait(300)).is_empty());
+    report_all(&mut bench);
+    assert!(load_requests(&bench.advance(300)).is_empty());
 }
 
-/// An entry starts while all instances do, and has heard of few copies yet. What lies on disks of which
-/// it has not heard must not be loaded from the weight store: it looks on for a while.
+/// An entry starts together with all instances and knows few of the cached weights yet. It waits
+/// for a while, because it must not load weights from the weight store that are cached on a disk it
+/// has no report of.
 #[test]
-fn an_entry_that_has_just_started_looks_on() {
+fn entry_that_has_just_started_does_not_preload() {
     let mut bench = Bench::new(vec![bare(1, &["m0"]), bare(2, &[])]);
-    bench.step(EntryEvent::Side(address(1), told(&[("m0", 1)])));
-    bench.step(EntryEvent::Side(address(2), told(&[])));
-    bench.ask("/draft/x", "m0");
-    row(&mut bench, 2, "i1", Some(Member { leaving: true, ..bare(1, &["m0"]) }));
-    assert!(wants(&bench.wait(1_000)).is_empty());
+    bench.step(EntryEvent::Side(address(1), state_with_rates(&[("m0", 1)])));
+    bench.step(EntryEvent::Side(address(2), state_with_rates(&[])));
+    bench.request("/draft/x", "m0");
+    update_row(&mut bench, 2, "i1", Some(Member { leaving: true, ..bare(1, &["m0"]) }));
+    assert!(load_requests(&bench.advance(1_000)).is_empty());
 }
 
-/// The busiest model has lost all its endpoints, and another model that callers miss has, too. The first
-/// is on its way to one endpoint; six of them were sent for it at once, and the other came 18 s later.
+/// The busiest model and another one with demand have lost all endpoints. While the first was
+/// already being loaded at one endpoint, six load requests for it were sent at once, and the other
+/// model was ready 18 s later.
 #[test]
-fn one_load_of_a_model_goes_before_a_second_of_another() {
+fn first_load_of_a_model_precedes_a_second_load_of_another() {
     let members = (1..6).map(|index| bare(index, &[])).collect();
     let mut bench = Bench::new(members);
-    let empty = |bench: &mut Bench| {
+    let report_empty = |bench: &mut Bench| {
         for index in 2..6 {
-            bench.step(EntryEvent::Side(address(index), told(&[])));
+            bench.step(EntryEvent::Side(address(index), state_with_rates(&[])));
         }
     };
-    let coming =
-        SideState { loading: vec!["m0".to_owned()], busy_ms: 5_500, store_loads: 1, ..told(&[]) };
-    bench.step(EntryEvent::Side(address(1), coming.clone()));
-    empty(&mut bench);
-    let mut asked = Vec::new();
+    let loading_state = SideState {
+        loading: vec!["m0".to_owned()],
+        busy_ms: 5_500,
+        store_loads: 1,
+        ..state_with_rates(&[])
+    };
+    bench.step(EntryEvent::Side(address(1), loading_state.clone()));
+    report_empty(&mut bench);
+    let mut requested = Vec::new();
     for _ in 0..20 {
-        bench.ask("/draft/x", "m0");
-        let (_, effects) = bench.ask("/draft/x", "m5");
-        asked.extend(wants(&effects).into_iter().map(|want| want.model.clone()));
-        asked.extend(wants(&bench.wait(60)).into_iter().map(|want| want.model.clone()));
-        bench.step(EntryEvent::Side(address(1), coming.clone()));
-        empty(&mut bench);
+        bench.request("/draft/x", "m0");
+        let (_, effects) = bench.request("/draft/x", "m5");
+        requested.extend(
+            load_requests(&effects).into_iter().map(|load_request| load_request.model.clone()),
+        );
+        requested.extend(
+            load_requests(&bench.advance(60))
+                .into_iter()
+                .map(|load_request| load_request.model.clone()),
+        );
+        bench.step(EntryEvent::Side(address(1), loading_state.clone()));
+        report_empty(&mut bench);
     }
-    assert_eq!(asked.first().map(String::as_str), Some("m5"), "{asked:?}");
+    assert_eq!(requested.first().map(String::as_str), Some("m5"), "{requested:?}");
 }
 
-/// The busiest model is on its way to two endpoints, which can serve all that ask for it. A third load
-/// would hold up the store and another endpoint for six seconds.
+/// The busiest model is being loaded at two endpoints, which suffice for its requests. A third load
+/// would occupy the weight store and another endpoint for six seconds.
 #[test]
-fn two_loads_of_a_model_at_once_are_enough() {
+fn at_most_two_concurrent_loads_of_a_model() {
     let mut bench = Bench::new((1..10).map(|index| bare(index, &[])).collect());
-    let mut waits = (*text(2)).clone();
-    waits.routes.iter_mut().for_each(|route| route.timeout_ms = 15_000);
-    bench.step(EntryEvent::Text(Arc::new(waits)));
-    let coming =
-        SideState { loading: vec!["m0".to_owned()], busy_ms: 5_500, store_loads: 1, ..told(&[]) };
+    let mut long_timeouts = (*config(2)).clone();
+    long_timeouts.routes.iter_mut().for_each(|route| route.timeout_ms = 15_000);
+    bench.step(EntryEvent::Text(Arc::new(long_timeouts)));
+    let loading_state = SideState {
+        loading: vec!["m0".to_owned()],
+        busy_ms: 5_500,
+        store_loads: 1,
+        ..state_with_rates(&[])
+    };
     for _ in 0..30 {
         for index in 1..10 {
-            let state = if index < 3 { coming.clone() } else { told(&[]) };
+            let state = if index < 3 { loading_state.clone() } else { state_with_rates(&[]) };
             bench.step(EntryEvent::Side(address(index), state));
         }
         for _ in 0..5 {
-            let (_, effects) = bench.ask_for("/draft/x", "m0", 15_000);
-            assert!(wanted(&effects).is_none(), "{effects:?}");
+            let (_, effects) = bench.request_with_deadline("/draft/x", "m0", 15_000);
+            assert!(requested_load(&effects).is_none(), "{effects:?}");
         }
-        let effects = bench.wait(40);
-        assert!(wanted(&effects).is_none(), "{effects:?}");
+        let effects = bench.advance(40);
+        assert!(requested_load(&effects).is_none(), "{effects:?}");
     }
 }
--- a/crates/pool/tests/all/support.rs
+++ b/crates/pool/tests/all/support.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// A text with models `m0` to `m9` of 70,000 MB each, and a route for each kind of request.
-pub(crate) fn text(version: u64) -> Arc<ServingText> {
+/// A configuration with models `m0` to `m9` of 70,000 MB each, and one route per retry policy.
+pub(crate) fn config(version: u64) -> Arc<ServingText> {
     let models = (0..10).map(|index| model(&format!("m{index}"), 70_000.0)).collect();
     Arc::new(ServingText {
         version,
@@ -82,11 +82,11 @@
 }
 
 pub(crate) fn held(names: &[&str]) -> Vec<HeldModel> {
-    let one = |name: &&str| HeldModel { name: (*name).to_owned(), adapters: Vec::new() };
-    names.iter().map(one).collect()
+    let model = |name: &&str| HeldModel { name: (*name).to_owned(), adapters: Vec::new() };
+    names.iter().map(model).collect()
 }
 
-/// Endpoint `index` of `service`, which holds `models` and has copies of all on disk.
+/// Endpoint `index` of `service` with `models` loaded and the weights of all models cached on disk.
 pub(crate) fn member(index: u8, service: &str, models: &[&str]) -> Member {
     Member {
         instance: format!("i{index}"),
@@ -102,12 +102,12 @@
     }
 }
 
-/// What the side beside an endpoint says that holds `models`.
+/// State reported by the side of an endpoint that has `models` loaded.
 pub(crate) fn state(sequence: u64, models: &[&str]) -> SideState {
-    let one = |name: &&str| ModelState { name: (*name).to_owned(), ..ModelState::default() };
+    let model = |name: &&str| ModelState { name: (*name).to_owned(), ..ModelState::default() };
     SideState {
         sequence,
-        models: models.iter().map(one).collect(),
+        models: models.iter().map(model).collect(),
         on_disk: (0..10).map(|index| format!("m{index}")).collect(),
         entries: 1,
         sound: true,
@@ -116,21 +116,22 @@
     }
 }
 
-/// An endpoint with copies of what it holds and of nothing else.
+/// An engine endpoint that has only the weights of its loaded models cached on disk.
 pub(crate) fn bare(index: u8, models: &[&str]) -> Member {
     let kept = models.iter().map(|name| (*name).to_owned()).collect();
     Member { on_disk: kept, ..member(index, ENGINE, models) }
 }
 
-/// What its side says, with requests a second by model.
-pub(crate) fn told(models: &[(&str, u32)]) -> SideState {
-    let one = |(name, rate): &(&str, u32)| ModelState {
+/// State reported by the side of such an endpoint, with the request rate (per second) of each
+/// model.
+pub(crate) fn state_with_rates(models: &[(&str, u32)]) -> SideState {
+    let model = |(name, rate): &(&str, u32)| ModelState {
         name: (*name).to_owned(),
         rate_milli: rate * 1_000,
         ..ModelState::default()
     };
     SideState {
-        models: models.iter().map(one).collect(),
+        models: models.iter().map(model).collect(),
         on_disk: models.iter().map(|(name, _)| (*name).to_owned()).collect(),
         ..state(1, &[])
     }
@@ -145,7 +146,7 @@
     }
 }
 
-pub(crate) fn want(model: &str, victims: &[&str]) -> Want {
+pub(crate) fn load_request(model: &str, victims: &[&str]) -> Want {
     Want {
         instance: "i1".to_owned(),
         model: model.to_owned(),
@@ -157,7 +158,7 @@
     }
 }
 
-/// An entry with a clock.
+/// An entry and its virtual clock.
 pub(crate) struct Bench {
     pub(crate) entry: PoolEntry,
     pub(crate) now: u64,
@@ -165,17 +166,17 @@
 }
 
 impl Bench {
-    /// An entry that knows the text and these endpoints.
+    /// An entry with a configuration and a member list.
     pub(crate) fn new(members: Vec<Member>) -> Bench {
-        let mut bench = Bench::blank();
-        bench.step(EntryEvent::Text(text(1)));
+        let mut bench = Bench::unconfigured();
+        bench.step(EntryEvent::Text(config(1)));
         bench.step(EntryEvent::TextCurrent(true));
-        bench.list(1, members);
+        bench.set_members(1, members);
         bench
     }
 
-    /// An entry that knows nothing.
-    pub(crate) fn blank() -> Bench {
+    /// An entry without a configuration and without a member list.
+    pub(crate) fn unconfigured() -> Bench {
         let profile = EntryProfile {
             zone: "a".to_owned(),
             seed: 0,
@@ -190,13 +191,14 @@
         self.entry.step(Millis(self.now), event)
     }
 
-    pub(crate) fn list(&mut self, version: u64, members: Vec<Member>) -> Vec<EntryEffect> {
-        let rows = members.into_iter().map(|one| (one.instance.clone(), Some(one))).collect();
+    pub(crate) fn set_members(&mut self, version: u64, members: Vec<Member>) -> Vec<EntryEffect> {
+        let rows =
+            members.into_iter().map(|member| (member.instance.clone(), Some(member))).collect();
         self.step(EntryEvent::Members(MemberChange { whole: true, version, rows }))
     }
 
     /// Ticks every 20 ms for `ms`.
-    pub(crate) fn wait(&mut self, ms: u64) -> Vec<EntryEffect> {
+    pub(crate) fn advance(&mut self, ms: u64) -> Vec<EntryEffect> {
         let end = self.now + ms;
         let mut effects = Vec::new();
         while self.now < end {
@@ -206,13 +208,13 @@
         effects
     }
 
-    /// A request under `path` for `model`.
-    pub(crate) fn ask(&mut self, path: &str, model: &str) -> (RequestId, Vec<EntryEffect>) {
-        self.ask_for(path, model, 5_000)
+    /// Sends a request for `model` on `path` with a deadline of 5 s.
+    pub(crate) fn request(&mut self, path: &str, model: &str) -> (RequestId, Vec<EntryEffect>) {
+        self.request_with_deadline(path, model, 5_000)
     }
 
-    /// The same of a caller that waits for so many milliseconds.
-    pub(crate) fn ask_for(
+    /// Sends a request with the given deadline.
+    pub(crate) fn request_with_deadline(
         &mut self,
         path: &str,
         model: &str,
@@ -222,8 +224,8 @@
         self.arrive(Arrival { deadline_ms: Some(deadline_ms), ..arrival })
     }
 
-    /// The same of a length that its caller tells.
-    pub(crate) fn ask_with(
+    /// Sends a request with the given token counts.
+    pub(crate) fn request_with_tokens(
         &mut self,
         path: &str,
         model: &str,
@@ -253,7 +255,7 @@
         (id, self.step(EntryEvent::Arrive(arrival)))
     }
 
-    pub(crate) fn answer(&mut self, id: RequestId, head: AnswerHead) -> Vec<EntryEffect> {
+    pub(crate) fn respond(&mut self, id: RequestId, head: AnswerHead) -> Vec<EntryEffect> {
         self.step(EntryEvent::Answer(id, 1, head))
     }
 }
@@ -266,15 +268,15 @@
     AnswerHead { status, not_run: true, ..AnswerHead::default() }
 }
 
-/// The sending among the effects.
-pub(crate) fn sending(effects: &[EntryEffect]) -> Option<&Sending> {
+/// Returns the first dispatch among the effects.
+pub(crate) fn dispatch(effects: &[EntryEffect]) -> Option<&Sending> {
     effects.iter().find_map(|effect| match effect {
-        EntryEffect::Send(_, sending) => Some(sending),
+        EntryEffect::Send(_, dispatch) => Some(dispatch),
         _ => None,
     })
 }
 
-/// The reason of the refusal among the effects.
+/// Returns the reason and the retry time of the first refusal among the effects.
 pub(crate) fn refusal(effects: &[EntryEffect]) -> Option<(Reason, Option<u64>)> {
     effects.iter().find_map(|effect| match effect {
         EntryEffect::Refuse(_, refusal) => Some((refusal.reason, refusal.retry_ms)),
@@ -282,14 +284,14 @@
     })
 }
 
-/// The want among the effects.
-pub(crate) fn wanted(effects: &[EntryEffect]) -> Option<(SocketAddr, &Want)> {
+/// Returns the first load request among the effects and the endpoint it is addressed to.
+pub(crate) fn requested_load(effects: &[EntryEffect]) -> Option<(SocketAddr, &Want)> {
     effects.iter().find_map(|effect| match effect {
-        EntryEffect::Want(address, want) => Some((*address, want)),
+        EntryEffect::Want(address, load_request) => Some((*address, load_request)),
         _ => None,
     })
 }
 
-pub(crate) fn passes(effects: &[EntryEffect]) -> bool {
+pub(crate) fn forwards(effects: &[EntryEffect]) -> bool {
     effects.iter().any(|effect| matches!(effect, EntryEffect::Pass(_)))
 }
--- a/crates/pool/tests/all/unconfirmed.rs
+++ b/crates/pool/tests/all/unconfirmed.rs
@@ -1,39 +1,40 @@
-//! What is believed before anybody is heard.
+//! Use of the member list before a side has reported.
 
 use citronrill_pool::EntryEvent;
 use citronrill_wire::SideState;
 use rstest::rstest;
 
-use crate::support::{Bench, ENGINE, address, member, refusal, sending, state, wanted};
+use crate::support::{Bench, ENGINE, address, dispatch, member, refusal, requested_load, state};
 
-/// Guards against requests that are refused as the list still names what engines held before all instances
-/// lost power, and that use up the retry budget.
+/// After a power loss of all instances, the member list still names models that were loaded before.
+/// Requests dispatched on that basis were refused and used up the retry budget.
 #[test]
-fn nothing_is_sent_on_the_lists_word_before_its_side_is_due() {
+fn unconfirmed_models_of_the_list_are_not_used_at_once() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
-    let (_, effects) = bench.ask("/draft/x", "m0");
-    assert!(sending(&effects).is_none() && refusal(&effects).is_none());
-    assert!(wanted(&effects).is_none(), "nor is it asked for elsewhere");
+    let (_, effects) = bench.request("/draft/x", "m0");
+    assert!(dispatch(&effects).is_none() && refusal(&effects).is_none());
+    assert!(requested_load(&effects).is_none(), "it is not requested elsewhere either");
     let empty = SideState { instance: "i2".to_owned(), ..state(0, &[]) };
     let effects = bench.step(EntryEvent::Side(address(1), empty));
-    assert!(sending(&effects).is_none());
+    assert!(dispatch(&effects).is_none());
     assert_eq!(
-        wanted(&effects).map(|(at, want)| (at, want.model.as_str())),
+        requested_load(&effects).map(|(at, load_request)| (at, load_request.model.as_str())),
         Some((address(1), "m0"))
     );
 }
 
-/// Guards against waiting for a side that confirms the list at once, or that is never heard.
+/// Requests must not wait longer than needed for a side that confirms the member list at once, or
+/// that never reports.
 #[rstest]
 #[case(true, 20)]
 #[case(false, 1_300)]
-fn the_lists_word_is_used_once_its_side_is_heard_or_overdue(#[case] heard: bool, #[case] ms: u64) {
+fn models_of_the_list_are_used_once_confirmed_or_overdue(#[case] reported: bool, #[case] ms: u64) {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
-    bench.ask("/draft/x", "m0");
+    bench.request("/draft/x", "m0");
     let mut effects = Vec::new();
-    if heard {
+    if reported {
         effects.extend(bench.step(EntryEvent::Side(address(1), state(1, &["m0"]))));
     }
-    effects.extend(bench.wait(ms));
-    assert_eq!(sending(&effects).map(|one| one.instance.as_str()), Some("i1"));
+    effects.extend(bench.advance(ms));
+    assert_eq!(dispatch(&effects).map(|dispatch| dispatch.instance.as_str()), Some("i1"));
 }
--- a/crates/pool/tests/all/waiting.rs
+++ b/crates/pool/tests/all/waiting.rs
@@ -1,4 +1,4 @@
-//! How long a request waits for what it needs, and when its caller is told to come back.
+//! How long a request waits for its model, and when it is refused instead.
 
 use std::sync::Arc;
 
@@ -7,31 +7,31 @@
 use rstest::rstest;
 
 use crate::support::{
-    Bench, ENGINE, address, member, refusal, route, sending, state, text, wanted,
+    Bench, ENGINE, address, config, dispatch, member, refusal, requested_load, route, state,
 };
 
-/// A text whose streams are left after a silence of 3.2 s: eight pauses of 400 ms.
-fn patient_text() -> Arc<ServingText> {
-    let mut text = (*text(1)).clone();
-    let patient = |route: &mut Route| {
+/// A configuration whose callers leave a stream after a silence of 3.2 s: eight gaps of 400 ms.
+fn config_with_gaps() -> Arc<ServingText> {
+    let mut config = (*config(1)).clone();
+    let with_gap = |route: &mut Route| {
         route.gap_ms = Some(400);
         route.timeout_ms = 15_000;
     };
-    text.routes.iter_mut().for_each(patient);
-    Arc::new(text)
+    config.routes.iter_mut().for_each(with_gap);
+    Arc::new(config)
 }
 
-/// An entry with twenty engines, of which the second brings in `m5` and needs `coming_ms` for it. The weight
-/// store has room for one more.
-fn bench(coming_ms: u64) -> Bench {
-    let mut bench = Bench::blank();
-    bench.step(EntryEvent::Text(patient_text()));
+/// An entry with twenty engines, of which the second is loading `m5` for another `coming_ms`. The
+/// weight store has capacity for one more load.
+fn bench(load_ms: u64) -> Bench {
+    let mut bench = Bench::unconfigured();
+    bench.step(EntryEvent::Text(config_with_gaps()));
     let bare = |index| Member { on_disk: Vec::new(), ..member(index, ENGINE, &["m0"]) };
-    bench.list(1, (1..21).map(bare).collect());
+    bench.set_members(1, (1..21).map(bare).collect());
     let bare = SideState { on_disk: Vec::new(), ..state(1, &["m0"]) };
     let loading = SideState {
         loading: vec!["m5".to_owned()],
-        busy_ms: coming_ms,
+        busy_ms: load_ms,
         store_loads: 1,
         ..bare.clone()
     };
@@ -42,39 +42,39 @@
     bench
 }
 
-/// A caller has fifteen seconds, but leaves a stream that is silent for 3.2. Its model comes in four: it
-/// was held until it left, and had nothing. It is told at once, and comes back when the model is there.
+/// A caller has a deadline of fifteen seconds but leaves a stream after a silence of 3.2 s. Its
+/// model takes four seconds to load. The request was held until the caller left; it must be refused
+/// at once with a retry time at which the model is ready.
 #[rstest]
 #[case(4_000)]
 #[case(6_000)]
-fn who_would_leave_first_is_sent_back_at_once(#[case] coming_ms: u64) {
-    let mut bench = bench(coming_ms);
-    let (_, effects) = bench.ask_for("/draft/x", "m5", 15_000);
+fn caller_that_would_leave_before_the_load_ends_is_refused_at_once(#[case] load_ms: u64) {
+    let mut bench = bench(load_ms);
+    let (_, effects) = bench.request_with_deadline("/draft/x", "m5", 15_000);
     let (reason, retry_ms) = refusal(&effects).unwrap();
     assert_eq!(reason, Reason::TooFar);
     let retry_ms = retry_ms.unwrap();
-    assert!((coming_ms..coming_ms + coming_ms / 4).contains(&retry_ms), "{retry_ms}");
-    assert!(wanted(&effects).is_none(), "it is on its way, and not asked for again");
+    assert!((load_ms..load_ms + load_ms / 4).contains(&retry_ms), "{retry_ms}");
+    assert!(requested_load(&effects).is_none(), "it is being loaded and not requested again");
 }
 
-/// The model comes within the caller's patience: the request waits and is sent when it is there.
+/// The model is ready before the caller leaves: the request waits and is dispatched then.
 #[test]
-fn who_stays_long_enough_waits() {
+fn request_waits_if_the_load_ends_before_its_caller_leaves() {
     let mut bench = bench(2_000);
-    let (_, effects) = bench.ask_for("/draft/x", "m5", 15_000);
-    assert!(refusal(&effects).is_none() && wanted(&effects).is_none());
+    let (_, effects) = bench.request_with_deadline("/draft/x", "m5", 15_000);
+    assert!(refusal(&effects).is_none() && requested_load(&effects).is_none());
     bench.now += 1_900;
-    let there = SideState { on_disk: Vec::new(), ..state(2, &["m0", "m5"]) };
-    let effects = bench.step(EntryEvent::Side(address(2), there));
-    assert_eq!(sending(&effects).unwrap().instance, "i2");
+    let loaded_state = SideState { on_disk: Vec::new(), ..state(2, &["m0", "m5"]) };
+    let effects = bench.step(EntryEvent::Side(address(2), loaded_state));
+    assert_eq!(dispatch(&effects).unwrap().instance, "i2");
 }
 
-/// The load takes longer than was told. The request is not held until its caller has left: it is sent
-/// back while there is still somebody to hear it.
+/// The load takes longer than reported. The request is refused while its caller is still connected.
 #[test]
-fn nobody_is_held_until_he_leaves() {
+fn waiting_request_is_refused_before_its_caller_leaves() {
     let mut bench = bench(2_500);
-    let (id, _) = bench.ask_for("/draft/x", "m5", 15_000);
+    let (id, _) = bench.request_with_deadline("/draft/x", "m5", 15_000);
     let mut refused = None;
     for ms in 0..320 {
         bench.now += 10;
@@ -87,9 +87,9 @@
         };
         let effects = bench.step(EntryEvent::Side(address(2), late));
         let effects = [effects, bench.step(EntryEvent::Tick)].concat();
-        let one =
-            |effect: &EntryEffect| matches!(effect, EntryEffect::Refuse(one, _) if *one == id);
-        if effects.iter().any(one) {
+        let refuses =
+            |effect: &EntryEffect| matches!(effect, EntryEffect::Refuse(other, _) if *other == id);
+        if effects.iter().any(refuses) {
             refused = refusal(&effects).map(|(reason, retry)| (ms * 10, reason, retry));
             break;
         }
@@ -100,66 +100,68 @@
     assert!(retry_ms.unwrap() >= 500);
 }
 
-/// A route that does not declare its pauses says nothing of its callers' patience: they may wait until
+/// A route without a configured gap says nothing about when callers leave: requests may wait until
 /// their deadline.
 #[test]
-fn patience_that_is_not_declared_is_not_assumed() {
+fn route_without_a_gap_waits_until_the_deadline() {
     let mut bench = bench(4_000);
-    let mut plain = (*text(2)).clone();
+    let mut plain = (*config(2)).clone();
     plain.routes.iter_mut().for_each(|route| route.timeout_ms = 15_000);
     bench.step(EntryEvent::Text(Arc::new(plain)));
-    let (_, effects) = bench.ask_for("/draft/x", "m5", 15_000);
+    let (_, effects) = bench.request_with_deadline("/draft/x", "m5", 15_000);
     assert!(refusal(&effects).is_none());
 }
 
-/// One more replica of a busy model is on its way and takes six seconds. A caller needs an adapter of
-/// that model, which a holder could have in 25 ms; it was held up behind the replica.
+/// Another replica of a busy model takes six seconds to load. A request for an adapter of that
+/// model, which a holder could load in 25 ms, was blocked by the replica.
 #[test]
-fn an_adapter_does_not_wait_for_a_replica() {
+fn adapter_does_not_wait_for_a_replica() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
     let busy = ModelState { name: "m0".to_owned(), rate_milli: 40_000, ..ModelState::default() };
     let holder = SideState { models: vec![busy], ..state(1, &[]) };
     bench.step(EntryEvent::Side(address(1), holder));
     bench.step(EntryEvent::Side(address(2), state(1, &["m1"])));
-    let effects = bench.wait(20);
-    let (at, replica) = wanted(&effects).unwrap();
+    let effects = bench.advance(20);
+    let (at, replica) = requested_load(&effects).unwrap();
     assert_eq!((at, replica.model.as_str(), replica.adapter.as_str()), (address(2), "m0", ""));
-    let (_, effects) = bench.ask("/draft/x", "m0/a1");
-    let (at, want) = wanted(&effects).unwrap();
-    assert_eq!((at, want.adapter.as_str()), (address(1), "a1"));
+    let (_, effects) = bench.request("/draft/x", "m0/a1");
+    let (at, load_request) = requested_load(&effects).unwrap();
+    assert_eq!((at, load_request.adapter.as_str()), (address(1), "a1"));
 }
 
-/// An instance stands still, and holds the only copy of an adapter. Its callers were sent there and left
-/// after seconds of silence, while another holder of the model could have the adapter in 25 ms.
+/// A stalled instance holds the only loaded copy of an adapter. Callers were sent there and left
+/// after seconds of silence, while another holder of the model could have loaded the adapter in 25
+/// ms.
 #[test]
-fn an_adapter_is_fetched_where_somebody_is_heard() {
+fn adapter_is_loaded_at_a_responsive_holder() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])]);
     let mut holder = state(1, &["m0"]);
     holder.models[0].adapters = vec!["a1".to_owned()];
     bench.step(EntryEvent::Side(address(1), holder));
     bench.step(EntryEvent::Side(address(2), state(1, &["m0"])));
-    let (_, effects) = bench.ask("/draft/x", "m0/a1");
-    assert_eq!(sending(&effects).unwrap().instance, "i1");
+    let (_, effects) = bench.request("/draft/x", "m0/a1");
+    assert_eq!(dispatch(&effects).unwrap().instance, "i1");
     bench.now += 1_200;
     bench.step(EntryEvent::Side(address(2), state(1, &["m0"])));
-    let (_, effects) = bench.ask("/draft/x", "m0/a1");
-    let (at, want) = wanted(&effects).unwrap();
-    assert_eq!((at, want.adapter.as_str()), (address(2), "a1"));
-    // With nobody else to be heard, it goes where the adapter is.
+    let (_, effects) = bench.request("/draft/x", "m0/a1");
+    let (at, load_request) = requested_load(&effects).unwrap();
+    assert_eq!((at, load_request.adapter.as_str()), (address(2), "a1"));
+    // Without another responsive holder, the request goes where the adapter is.
     bench.now += 1_200;
-    let (_, effects) = bench.ask("/draft/x", "m0/a1");
-    assert_eq!(sending(&effects).map(|one| one.instance.as_str()), Some("i1"));
+    let (_, effects) = bench.request("/draft/x", "m0/a1");
+    assert_eq!(dispatch(&effects).map(|dispatch| dispatch.instance.as_str()), Some("i1"));
 }
 
-/// A plain call is not a stream: its caller stays until its deadline, whatever its route says of pauses.
+/// A plain call is not a stream: its caller stays until its deadline, whatever gap its route
+/// configures.
 #[test]
-fn plain_calls_have_no_patience() {
-    let patient = Route { gap_ms: Some(400), ..route("/book/", "plain", Repeat::Once, 1) };
-    let mut text = (*text(1)).clone();
-    text.routes = vec![patient];
-    let mut bench = Bench::blank();
-    bench.step(EntryEvent::Text(Arc::new(text)));
-    bench.list(1, vec![member(1, "plain", &[])]);
-    let (_, effects) = bench.ask_for("/book/x", "", 300);
-    assert_eq!(sending(&effects).unwrap().remaining_ms, 300);
+fn gap_does_not_apply_to_plain_calls() {
+    let with_gap = Route { gap_ms: Some(400), ..route("/book/", "plain", Repeat::Once, 1) };
+    let mut config = (*config(1)).clone();
+    config.routes = vec![with_gap];
+    let mut bench = Bench::unconfigured();
+    bench.step(EntryEvent::Text(Arc::new(config)));
+    bench.set_members(1, vec![member(1, "plain", &[])]);
+    let (_, effects) = bench.request_with_deadline("/book/x", "", 300);
+    assert_eq!(dispatch(&effects).unwrap().remaining_ms, 300);
 }
--- a/crates/pool/tests/all/world/engines.rs
+++ b/crates/pool/tests/all/world/engines.rs
@@ -1,4 +1,4 @@
-//! The engines: what they hold, run, copy and are ordered.
+//! The simulated engines: models, runs, KV cache copies and orders.
 
 use std::collections::BTreeSet;
 
@@ -8,14 +8,14 @@
 };
 use rand::Rng;
 
-use super::{Happening, SLOTS, WEIGHTS_MB, World};
+use super::{SLOTS, SimEvent, Simulation, WEIGHTS_MB};
 
-const QUEUE: usize = 72;
+const QUEUE_LIMIT: usize = 72;
 const MEMORY_MB: f64 = 200_000.0;
-const FIRST_MS: u64 = 50;
+const FIRST_TOKEN_MS: u64 = 50;
 pub(super) const RUN_MS: u64 = 400;
-/// Loads that the weight store carries at full speed.
-const STORE_AT_ONCE: usize = 4;
+/// Concurrent loads that the weight store serves at full speed.
+const STORE_CONCURRENCY: usize = 4;
 
 #[derive(Debug, Clone)]
 pub(super) struct Run {
@@ -23,59 +23,65 @@
     pub(super) id: RequestId,
     pub(super) number: u32,
     pub(super) model: String,
-    pub(super) ends: u64,
-    pub(super) begun: bool,
-    /// Where its memory is copied to.
+    pub(super) ends_at: u64,
+    pub(super) has_output: bool,
+    /// The engine its KV cache is copied to.
     pub(super) backup: Option<usize>,
-    /// Whether it goes on from a copy.
+    /// Whether it resumes from a copy.
     pub(super) copy: bool,
 }
 
 pub(super) struct Engine {
-    pub(super) boot: u32,
-    /// Whether each start has a name of its own.
-    pub(super) renamed: bool,
+    pub(super) incarnation: u32,
+    /// Whether each incarnation has its own name.
+    pub(super) unique_names: bool,
     pub(super) up: bool,
     pub(super) models: BTreeSet<String>,
     pub(super) disk: BTreeSet<String>,
     pub(super) sequence: u64,
     pub(super) order: Option<Order>,
-    pub(super) far: bool,
+    pub(super) remote_load: bool,
     pub(super) runs: Vec<Run>,
     pub(super) queue: Vec<Run>,
-    /// Runs elsewhere whose memory it has copies of.
+    /// Runs of other engines whose KV cache it has copies of.
     pub(super) copies: BTreeSet<(usize, RequestId)>,
 }
 
 impl Engine {
-    /// The name of its present start: a new one each time, or the same, with a start that it tells.
+    /// Returns the name of the current incarnation. An engine that keeps its name reports its start
+    /// time instead.
     pub(super) fn instance(&self, index: usize) -> String {
-        if self.renamed { format!("e{index}-{}", self.boot) } else { format!("e{index}") }
+        if self.unique_names {
+            format!("e{index}-{}", self.incarnation)
+        } else {
+            format!("e{index}")
+        }
     }
 
-    pub(super) fn started(&self) -> Option<StartTime> {
-        (!self.renamed).then(|| StartTime(1_790_000_000_000 + u64::from(self.boot) * 1_000))
+    pub(super) fn start_time(&self) -> Option<StartTime> {
+        (!self.unique_names)
+            .then(|| StartTime(1_790_000_000_000 + u64::from(self.incarnation) * 1_000))
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn send_order(&mut self, side: usize, order: Order) {
         if self.rng.random_bool(self.faults.lost_orders) {
             let unknown = SideEvent::Ordered(order.number, OrderOutcome::Unknown, None);
-            self.at(self.now + 400, Happening::Side(side, unknown));
+            self.schedule(self.now + 400, SimEvent::SideInput(side, unknown));
             if self.rng.random_bool(0.5) {
                 let late = self.now + self.rng.random_range(1_000..6_000);
-                self.at(late, Happening::Give(side, order, true));
+                self.schedule(late, SimEvent::OrderReceived(side, order, true));
             }
         } else {
-            self.soon(Happening::Give(side, order, false));
+            self.after_hop(SimEvent::OrderReceived(side, order, false));
         }
     }
 
     pub(super) fn report(&self, index: usize) -> Option<EngineReport> {
         let engine = &self.engines[index];
         engine.up.then(|| EngineReport {
-            started: engine.started(),
+            started: engine.start_time(),
             models: engine
                 .models
                 .iter()
@@ -90,8 +96,8 @@
         })
     }
 
-    /// An order reaches an engine.
-    pub(super) fn give(&mut self, index: usize, order: Order, late: bool) {
+    /// Handles an order received by an engine.
+    pub(super) fn receive_order(&mut self, index: usize, order: Order, late: bool) {
         let instance = self.engines[index].instance(index);
         let engine = &mut self.engines[index];
         let outcome = if !engine.up {
@@ -108,56 +114,57 @@
         let accepted = outcome.0 == OrderOutcome::Accepted;
         if !late {
             let event = SideEvent::Ordered(order.number, outcome.0, outcome.1);
-            self.soon(Happening::Side(index, event));
+            self.after_hop(SimEvent::SideInput(index, event));
         }
         if accepted {
-            self.carry_out(index, order);
+            self.start_order(index, order);
         }
     }
 
-    fn carry_out(&mut self, index: usize, order: Order) {
-        let boot = self.engines[index].boot;
-        let far = order.kind == OrderKind::Load && !self.engines[index].disk.contains(&order.model);
-        self.engines[index].far = far;
+    fn start_order(&mut self, index: usize, order: Order) {
+        let incarnation = self.engines[index].incarnation;
+        let remote_load =
+            order.kind == OrderKind::Load && !self.engines[index].disk.contains(&order.model);
+        self.engines[index].remote_load = remote_load;
         if order.kind == OrderKind::Unload {
-            self.at(self.now + 20, Happening::Loaded(index, boot, order));
+            self.schedule(self.now + 20, SimEvent::OrderDone(index, incarnation, order));
             return;
         }
         let used = (self.engines[index].models.len() + 1) as f64 * WEIGHTS_MB;
         if used > MEMORY_MB {
-            self.breaks(format!("engine {index} is to hold {used} MB"));
+            self.record_violation(format!("engine {index} is ordered to use {used} MB"));
         }
-        let at_once = self.engines.iter().filter(|engine| engine.far).count();
-        let slow = (at_once as f64 / STORE_AT_ONCE as f64).max(1.0);
-        let takes = if far { (6_000.0 * slow) as u64 } else { 800 };
-        self.at(self.now + takes, Happening::Loaded(index, boot, order));
+        let loads = self.engines.iter().filter(|engine| engine.remote_load).count();
+        let slow = (loads as f64 / STORE_CONCURRENCY as f64).max(1.0);
+        let takes = if remote_load { (6_000.0 * slow) as u64 } else { 800 };
+        self.schedule(self.now + takes, SimEvent::OrderDone(index, incarnation, order));
     }
 
-    pub(super) fn loaded(&mut self, index: usize, boot: u32, order: &Order) {
+    pub(super) fn finish_order(&mut self, index: usize, incarnation: u32, order: &Order) {
         let engine = &mut self.engines[index];
-        if engine.boot != boot || !engine.up {
+        if engine.incarnation != incarnation || !engine.up {
             return;
         }
         if order.kind == OrderKind::Load {
             engine.models.insert(order.model.clone());
             engine.disk.insert(order.model.clone());
         } else if engine.runs.iter().any(|run| run.model == order.model) {
-            // An unload waits for its runs.
-            self.at(self.now + 20, Happening::Loaded(index, boot, order.clone()));
+            // An unload waits until the model's runs have ended.
+            self.schedule(self.now + 20, SimEvent::OrderDone(index, incarnation, order.clone()));
             return;
         } else {
             engine.models.remove(&order.model);
         }
         engine.order = None;
-        engine.far = false;
+        engine.remote_load = false;
     }
 
-    /// A request reaches an engine.
-    pub(super) fn reach(&mut self, index: usize, run: Run, instance: &str) {
+    /// Handles a request received by an engine.
+    pub(super) fn receive_request(&mut self, index: usize, run: Run, instance: &str) {
         let (entry, id, number) = (run.entry, run.id, run.number);
         let model = run.model.clone();
-        let gone = self.callers.get(&(entry, id)).is_none_or(|caller| caller.done);
-        let found = self.engines[index].instance(index);
+        let caller_done = self.callers.get(&(entry, id)).is_none_or(|caller| caller.done);
+        let current = self.engines[index].instance(index);
         let engine = &mut self.engines[index];
         let leaving = engine
             .order
@@ -167,27 +174,27 @@
             let head = AnswerHead { status, not_run: true, elsewhere, ..AnswerHead::default() };
             EntryEvent::Answer(id, number, head)
         };
-        if gone {
+        if caller_done {
             return;
         }
-        // A copy is used once.
-        let copied = engine.up && engine.copies.remove(&(entry, id));
+        // A copy can be used only once.
+        let resumed_from_copy = engine.up && engine.copies.remove(&(entry, id));
         let answer = if !engine.up {
             Some(EntryEvent::Fail(id, number, FailureKind::Unreached))
-        } else if found != instance {
+        } else if current != instance {
             Some(refused(421, true))
         } else if !engine.models.contains(&model) {
             Some(refused(421, false))
-        } else if leaving || engine.queue.len() >= QUEUE || run.copy && !copied {
+        } else if leaving || engine.queue.len() >= QUEUE_LIMIT || run.copy && !resumed_from_copy {
             Some(refused(503, false))
         } else {
             None
         };
         if let Some(answer) = answer {
-            self.soon(Happening::Entry(entry, answer));
+            self.after_hop(SimEvent::EntryInput(entry, answer));
             return;
         }
-        self.figures.copied += u32::from(run.copy);
+        self.stats.resumed_from_copy += u32::from(run.copy);
         self.engines[index].queue.push(run);
         self.fill_slots(index);
     }
@@ -195,53 +202,62 @@
     fn fill_slots(&mut self, index: usize) {
         while self.engines[index].runs.len() < SLOTS && !self.engines[index].queue.is_empty() {
             let mut run = self.engines[index].queue.remove(0);
-            run.ends = self.now + self.run_ms;
-            let boot = self.engines[index].boot;
-            self.at(self.now + FIRST_MS, Happening::First(index, boot, run.id, run.number));
-            self.at(run.ends, Happening::End(index, boot, run.id, run.number));
+            run.ends_at = self.now + self.run_ms;
+            let incarnation = self.engines[index].incarnation;
+            self.schedule(
+                self.now + FIRST_TOKEN_MS,
+                SimEvent::FirstToken(index, incarnation, run.id, run.number),
+            );
+            self.schedule(run.ends_at, SimEvent::RunEnds(index, incarnation, run.id, run.number));
             self.engines[index].runs.push(run);
         }
     }
 
-    /// A run makes its first token.
-    pub(super) fn first(&mut self, index: usize, boot: u32, id: RequestId, number: u32) {
-        if self.engines[index].boot != boot {
+    /// Handles the first token of a run.
+    pub(super) fn first_token(
+        &mut self,
+        index: usize,
+        incarnation: u32,
+        id: RequestId,
+        number: u32,
+    ) {
+        if self.engines[index].incarnation != incarnation {
             return;
         }
         let same = |run: &&mut Run| run.id == id && run.number == number;
         let Some(run) = self.engines[index].runs.iter_mut().find(same) else { return };
-        run.begun = true;
+        run.has_output = true;
         let (entry, backup, copy) = (run.entry, run.backup, run.copy);
         if let Some(helper) = backup.filter(|helper| self.engines[*helper].up) {
             self.engines[helper].copies.insert((entry, id));
         }
         let Some(caller) = self.callers.get_mut(&(entry, id)) else { return };
         caller.runs += u32::from(!copy);
-        let twice = caller.once && caller.runs > 1;
+        let twice = caller.run_once && caller.runs > 1;
         if twice {
-            self.breaks(format!("{id:?} runs twice"));
+            self.record_violation(format!("{id:?} runs twice"));
         }
         let broken = self.rng.random_bool(self.faults.broken);
         let event = if broken {
             self.cancel(entry, id);
             EntryEvent::Fail(id, number, FailureKind::Broken)
         } else {
-            self.callers.get_mut(&(entry, id)).unwrap().first.get_or_insert(self.now);
+            self.callers.get_mut(&(entry, id)).unwrap().first_token.get_or_insert(self.now);
             let head = AnswerHead { status: 200, signed: true, ..AnswerHead::default() };
             EntryEvent::Answer(id, number, head)
         };
-        self.soon(Happening::Entry(entry, event));
+        self.after_hop(SimEvent::EntryInput(entry, event));
     }
 
-    pub(super) fn end(&mut self, index: usize, boot: u32, id: RequestId, number: u32) {
-        if self.engines[index].boot != boot {
+    pub(super) fn end_run(&mut self, index: usize, incarnation: u32, id: RequestId, number: u32) {
+        if self.engines[index].incarnation != incarnation {
             return;
         }
         let runs = &mut self.engines[index].runs;
         let place = runs.iter().position(|run| run.id == id && run.number == number);
         if let Some(place) = place {
             let run = runs.remove(place);
-            self.soon(Happening::Entry(run.entry, EntryEvent::Finish(id, true)));
+            self.after_hop(SimEvent::EntryInput(run.entry, EntryEvent::Finish(id, true)));
         }
         self.fill_slots(index);
     }
@@ -250,7 +266,7 @@
         let index = self.rng.random_range(0..self.engines.len());
         if self.engines[index].up {
             self.stop(index);
-            self.at(self.now + 2_000, Happening::Start(index));
+            self.schedule(self.now + 2_000, SimEvent::Restart(index));
         }
     }
 
@@ -260,16 +276,16 @@
         engine.models.clear();
         engine.sequence = 0;
         engine.order = None;
-        engine.far = false;
+        engine.remote_load = false;
         engine.copies.clear();
         let runs = engine.runs.drain(..).chain(engine.queue.drain(..)).collect::<Vec<_>>();
         for run in runs {
-            let event = if run.begun {
+            let event = if run.has_output {
                 EntryEvent::Broke(run.id, Some(0))
             } else {
                 EntryEvent::Fail(run.id, run.number, FailureKind::Broken)
             };
-            self.soon(Happening::Entry(run.entry, event));
+            self.after_hop(SimEvent::EntryInput(run.entry, event));
         }
     }
 }
--- a/crates/pool/tests/all/world/mod.rs
+++ b/crates/pool/tests/all/world/mod.rs
@@ -1,7 +1,7 @@
-//! A whole pool on virtual time: entries, sides, and engines that behave as real ones do.
+//! Simulation of a whole pool on virtual time: entries, sides and engines.
 //!
-//! The engines are a naive model: slots, a queue, one order at a time, loads that slow down when the
-//! weight store has too many. An oracle looks at every run, order and answer.
+//! The engines are a simple model: slots, a queue, one order at a time, and loads that slow down
+//! when the weight store serves too many. An oracle checks every run, order and response.
 
 mod engines;
 mod standstill;
@@ -20,30 +20,30 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-pub(crate) use self::standstill::{Hung, Standstill};
+pub(crate) use self::standstill::{Stall, StallStats};
 use self::{
     engines::{Engine, RUN_MS, Run},
-    standstill::Frozen,
+    standstill::Stalls,
 };
-use crate::support::{ENGINE, HOST, address, model, text};
+use crate::support::{ENGINE, HOST, address, config, model};
 
 const SLOTS: usize = 24;
 const WEIGHTS_MB: f64 = 60_000.0;
-/// Milliseconds of a message between two processes.
+/// Latency of a message between two processes, in milliseconds.
 const HOP_MS: u64 = 1;
 const CHAT_TARGET_MS: u64 = 500;
 const DRAFT_TARGET_MS: u64 = 2_500;
 
-/// What goes wrong.
+/// Injected faults.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Faults {
-    /// Crashes a second, over all engines.
+    /// Crashes per second, over all engines.
     crashes: f64,
-    /// Share of orders whose answer is lost, half of which are carried out late.
+    /// Share of orders whose answer is lost; half of them are carried out late.
     lost_orders: f64,
-    /// Share of sides' messages that are lost.
+    /// Share of the sides' state messages that are lost.
     lost_states: f64,
-    /// Share of sendings whose connection breaks after the request was taken.
+    /// Share of attempts whose connection breaks after the run has started.
     broken: f64,
 }
 
@@ -52,7 +52,7 @@
         Faults { crashes: 0.0, lost_orders: 0.0, lost_states: 0.0, broken: 0.0 }
     }
 
-    /// Engines crash one after the other, and nothing else goes wrong.
+    /// Engine crashes at this rate, and no other faults.
     pub(crate) fn crashes(crashes: f64) -> Faults {
         Faults { crashes, ..Faults::none() }
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// What callers ask for.
+/// Load offered by callers.
 pub(crate) struct Load {
     pub(crate) busy_per_s: f64,
     pub(crate) rare_per_s: f64,
@@ -70,120 +70,120 @@
     pub(crate) seconds: u64,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Debug, Default)]
-pub(crate) struct Figures {
-    pub(crate) busy_asked: u32,
+pub(crate) struct Stats {
+    pub(crate) busy_requests: u32,
     pub(crate) busy_served: u32,
     pub(crate) busy_in_time: u32,
-    pub(crate) rare_asked: u32,
+    pub(crate) rare_requests: u32,
     pub(crate) rare_in_time: u32,
     pub(crate) refused: u32,
     pub(crate) expired: u32,
-    /// Answers that were broken off after their beginning.
+    /// Responses that were cut after they had begun.
     pub(crate) cut: u32,
-    /// Runs that went on from a copy of their memory.
-    pub(crate) copied: u32,
-    /// Steps of reducers.
+    /// Runs that resumed from a copy of their KV cache.
+    pub(crate) resumed_from_copy: u32,
+    /// Steps of all state machines.
     pub(crate) steps: u64,
-    /// What hung at an instance that stood still.
-    pub(crate) hung: Hung,
-    /// Promises that were broken.
-    pub(crate) broken: Vec<String>,
+    /// Effects of a stalled instance.
+    pub(crate) stalled: StallStats,
+    /// Violated invariants.
+    pub(crate) violations: Vec<String>,
 }
 
-impl Figures {
+impl Stats {
     pub(crate) fn busy_share(&self) -> f64 {
-        f64::from(self.busy_in_time) / f64::from(self.busy_asked.max(1))
+        f64::from(self.busy_in_time) / f64::from(self.busy_requests.max(1))
     }
 
     pub(crate) fn rare_share(&self) -> f64 {
-        f64::from(self.rare_in_time) / f64::from(self.rare_asked.max(1))
+        f64::from(self.rare_in_time) / f64::from(self.rare_requests.max(1))
     }
 }
 
 struct Caller {
     busy: bool,
-    once: bool,
+    run_once: bool,
     arrived: u64,
-    ends: u64,
+    deadline: u64,
     runs: u32,
-    first: Option<u64>,
+    first_token: Option<u64>,
     done: bool,
-    /// The engines to which it was sent.
-    sent_to: Vec<usize>,
+    /// The engines its request was dispatched to.
+    engines_used: Vec<usize>,
 }
 
 #[derive(Debug, Clone)]
-enum Happening {
-    Arrive(bool),
-    Entry(usize, EntryEvent),
-    Side(usize, SideEvent),
-    Reach(usize, Run, String),
-    First(usize, u32, RequestId, u32),
-    End(usize, u32, RequestId, u32),
-    Give(usize, Order, bool),
-    Loaded(usize, u32, Order),
-    Probe(usize, usize),
-    Cancel(usize, usize, RequestId),
-    Leave(usize, RequestId),
-    Freeze(u64),
+enum SimEvent {
+    RequestArrives(bool),
+    EntryInput(usize, EntryEvent),
+    SideInput(usize, SideEvent),
+    RequestReceived(usize, Run, String),
+    FirstToken(usize, u32, RequestId, u32),
+    RunEnds(usize, u32, RequestId, u32),
+    OrderReceived(usize, Order, bool),
+    OrderDone(usize, u32, Order),
+    ProbeReceived(usize, usize),
+    RunCancelled(usize, usize, RequestId),
+    CallerLeaves(usize, RequestId),
+    Stall(u64),
     Tick,
-    List,
+    MemberList,
     Crash,
-    Start(usize),
-    Wipe,
+    Restart(usize),
+    PowerLoss,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     now: u64,
     rng: SmallRng,
     faults: Faults,
-    text: Arc<ServingText>,
+    config: Arc<ServingText>,
     entries: Vec<PoolEntry>,
     sides: Vec<PoolSide>,
     engines: Vec<Engine>,
     callers: BTreeMap<(usize, RequestId), Caller>,
     models: BTreeMap<(usize, RequestId), String>,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    events: BTreeMap<u64, SimEvent>,
     next: u64,
-    list: u64,
-    figures: Figures,
-    /// Milliseconds that a run takes.
+    list_version: u64,
+    stats: Stats,
+    /// Duration of a run, in milliseconds.
     pub(crate) run_ms: u64,
-    standstill: Option<Standstill>,
-    frozen: Frozen,
+    stall: Option<Stall>,
+    stalls: Stalls,
 }
 
 fn rare(index: usize) -> String {
     format!("r{index}")
 }
 
-impl World {
-    pub(crate) fn new(seed: u64, engines: usize, entries: usize, faults: Faults) -> World {
-        let mut whole = (*text(1)).clone();
-        if let Some(engine) = &mut whole.services[0].engine {
+impl Simulation {
+    pub(crate) fn new(seed: u64, engines: usize, entries: usize, faults: Faults) -> Simulation {
+        let mut config = (*config(1)).clone();
+        if let Some(engine) = &mut config.services[0].engine {
             engine.models = (0..80).map(|index| model(&rare(index), WEIGHTS_MB)).collect();
             engine.models.push(model("busy", WEIGHTS_MB));
         }
-        whole.routes[1].target_ms = DRAFT_TARGET_MS;
-        whole.routes[1].timeout_ms = 15_000;
+        config.routes[1].target_ms = DRAFT_TARGET_MS;
+        config.routes[1].timeout_ms = 15_000;
         let mut rng = SmallRng::seed_from_u64(seed);
         let engine = |index: usize, rng: &mut SmallRng| {
             let mut disk = (0..20).map(|_| rare(rng.random_range(0..80))).collect::<BTreeSet<_>>();
-            disk.extend((0..80).filter(|one| one % engines == index).map(rare));
+            disk.extend((0..80).filter(|number| number % engines == index).map(rare));
             disk.insert("busy".to_owned());
             let models = BTreeSet::from(["busy".to_owned(), rare(index)]);
             Engine {
-                boot: 0,
-                renamed: true,
+                incarnation: 0,
+                unique_names: true,
                 up: true,
                 models: if index < 3 { models } else { BTreeSet::from([rare(index)]) },
                 disk,
                 sequence: 0,
                 order: None,
-                far: false,
+                remote_load: false,
                 runs: Vec::new(),
                 queue: Vec::new(),
                 copies: BTreeSet::new(),
@@ -196,10 +196,10 @@
             retry_slack: 50.0,
             retry_window_ms: 10_000,
         };
-        World {
+        Simulation {
             now: 0,
             faults,
-            text: Arc::new(whole),
+            config: Arc::new(config),
             entries: (0..entries)
                 .map(|entry| EntryProfile { seed: entry as u64 * 7_919, ..profile.clone() })
                 .map(PoolEntry::new)
@@ -209,51 +209,51 @@
             callers: BTreeMap::new(),
             models: BTreeMap::new(),
             heap: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            events: BTreeMap::new(),
             next: 0,
-            list: 0,
-            figures: Figures::default(),
+            list_version: 0,
+            stats: Stats::default(),
             run_ms: RUN_MS,
-            standstill: None,
-            frozen: Frozen::new(),
+            stall: None,
+            stalls: Stalls::new(),
             rng,
         }
     }
 
-    /// Has engines start again under their names.
+    /// Makes engines restart under the same name.
     pub(crate) fn keep_names(&mut self) {
-        self.engines.iter_mut().for_each(|engine| engine.renamed = false);
+        self.engines.iter_mut().for_each(|engine| engine.unique_names = false);
     }
 
-    /// All engines lose memory, copies and runs at `ms`.
-    pub(crate) fn wipe_at(&mut self, ms: u64) {
-        self.at(ms, Happening::Wipe);
+    /// Makes all engines lose memory, cached weights and runs at `ms`.
+    pub(crate) fn power_loss_at(&mut self, ms: u64) {
+        self.schedule(ms, SimEvent::PowerLoss);
     }
 
-    /// Plays `load`, and five seconds more for what is under way.
-    pub(crate) fn play(mut self, load: &Load) -> Figures {
+    /// Runs `load`, and 16 seconds more for requests in progress.
+    pub(crate) fn run(mut self, load: &Load) -> Stats {
         let start = 2_000;
         for entry in 0..self.entries.len() {
-            self.at(0, Happening::Entry(entry, EntryEvent::Text(self.text.clone())));
+            self.schedule(0, SimEvent::EntryInput(entry, EntryEvent::Text(self.config.clone())));
         }
         for side in 0..self.sides.len() {
-            self.at(0, Happening::Side(side, SideEvent::Text(self.text.clone())));
+            self.schedule(0, SimEvent::SideInput(side, SideEvent::Text(self.config.clone())));
             let entries = self.entries.len() as u32;
-            self.at(0, Happening::Side(side, SideEvent::Entries(entries)));
+            self.schedule(0, SimEvent::SideInput(side, SideEvent::Entries(entries)));
         }
-        self.at(1, Happening::List);
-        self.at(2, Happening::Tick);
+        self.schedule(1, SimEvent::MemberList);
+        self.schedule(2, SimEvent::Tick);
         for (per_s, busy) in [(load.busy_per_s, true), (load.rare_per_s, false)] {
             let mut at = start as f64;
             while per_s > 0.0 && at < (start + load.seconds * 1_000) as f64 {
                 at += -self.rng.random_range(0.001_f64..1.0).ln() * 1_000.0 / per_s;
-                self.at(at as u64, Happening::Arrive(busy));
+                self.schedule(at as u64, SimEvent::RequestArrives(busy));
             }
         }
         let crashes = self.faults.crashes * load.seconds as f64;
         for _ in 0..crashes as u32 {
             let at = start + self.rng.random_range(0..load.seconds * 1_000);
-            self.at(at, Happening::Crash);
+            self.schedule(at, SimEvent::Crash);
         }
         let end = start + load.seconds * 1_000 + 16_000;
         while let Some(Reverse((at, number))) = self.heap.pop() {
@@ -261,65 +261,73 @@
                 break;
             }
             self.now = at;
-            let happening = self.happenings.remove(&number);
-            if let Some(happening) = happening {
-                self.happen(happening, load);
+            let event = self.events.remove(&number);
+            if let Some(event) = event {
+                self.handle(event, load);
             }
         }
         let open = self.callers.values().filter(|caller| !caller.done).count();
         if open > 0 {
-            self.figures.broken.push(format!("{open} requests have no end"));
+            self.stats.violations.push(format!("{open} requests did not end"));
         }
-        self.figures
+        self.stats
     }
 
-    fn at(&mut self, at: u64, happening: Happening) {
+    fn schedule(&mut self, at: u64, event: SimEvent) {
         self.next += 1;
         self.heap.push(Reverse((at, self.next)));
-        self.happenings.insert(self.next, happening);
+        self.events.insert(self.next, event);
     }
 
-    fn soon(&mut self, happening: Happening) {
-        self.at(self.now + HOP_MS, happening);
+    fn after_hop(&mut self, event: SimEvent) {
+        self.schedule(self.now + HOP_MS, event);
     }
 
-    fn breaks(&mut self, what: String) {
-        self.figures.broken.push(format!("{} ms: {what}", self.now));
+    fn record_violation(&mut self, violation: String) {
+        self.stats.violations.push(format!("{} ms: {violation}", self.now));
     }
 
-    fn happen(&mut self, happening: Happening, load: &Load) {
-        if let Some(wakes) = happening.engine().and_then(|index| self.wakes(index)) {
-            self.at(wakes, happening);
+    fn handle(&mut self, event: SimEvent, load: &Load) {
+        if let Some(stalled_until) = event.engine().and_then(|index| self.stalled_until(index)) {
+            self.schedule(stalled_until, event);
             return;
         }
-        match happening {
-            Happening::Arrive(busy) => self.arrive(busy, load),
-            Happening::Entry(entry, event) => self.entry(entry, event),
-            Happening::Side(side, event) => self.side(side, event),
-            Happening::Reach(engine, run, instance) => self.reach(engine, run, &instance),
-            Happening::First(engine, boot, id, number) => self.first(engine, boot, id, number),
-            Happening::End(engine, boot, id, number) => self.end(engine, boot, id, number),
-            Happening::Give(engine, order, late) => self.give(engine, order, late),
-            Happening::Loaded(engine, boot, order) => self.loaded(engine, boot, &order),
-            Happening::Probe(side, entry) => {
-                let alive = EntryEvent::Alive(address(side as u8));
-                self.soon(Happening::Entry(entry, alive));
+        match event {
+            SimEvent::RequestArrives(busy) => self.arrive(busy, load),
+            SimEvent::EntryInput(entry, event) => self.step_entry(entry, event),
+            SimEvent::SideInput(side, event) => self.step_side(side, event),
+            SimEvent::RequestReceived(engine, run, instance) => {
+                self.receive_request(engine, run, &instance)
             }
-            Happening::Cancel(engine, entry, id) => self.cancel_at(engine, entry, id),
-            Happening::Leave(entry, id) => self.leave(entry, id),
-            Happening::Freeze(for_ms) => self.freeze(for_ms),
-            Happening::Tick => self.tick(),
-            Happening::List => self.tell_list(),
-            Happening::Crash => self.crash(),
-            Happening::Start(engine) => {
+            SimEvent::FirstToken(engine, incarnation, id, number) => {
+                self.first_token(engine, incarnation, id, number)
+            }
+            SimEvent::RunEnds(engine, incarnation, id, number) => {
+                self.end_run(engine, incarnation, id, number)
+            }
+            SimEvent::OrderReceived(engine, order, late) => self.receive_order(engine, order, late),
+            SimEvent::OrderDone(engine, incarnation, order) => {
+                self.finish_order(engine, incarnation, &order)
+            }
+            SimEvent::ProbeReceived(side, entry) => {
+                let reply = EntryEvent::Alive(address(side as u8));
+                self.after_hop(SimEvent::EntryInput(entry, reply));
+            }
+            SimEvent::RunCancelled(engine, entry, id) => self.cancel_run(engine, entry, id),
+            SimEvent::CallerLeaves(entry, id) => self.caller_leaves(entry, id),
+            SimEvent::Stall(for_ms) => self.stall_engine(for_ms),
+            SimEvent::Tick => self.tick(),
+            SimEvent::MemberList => self.send_member_list(),
+            SimEvent::Crash => self.crash(),
+            SimEvent::Restart(engine) => {
                 self.engines[engine].up = true;
-                self.engines[engine].boot += 1;
+                self.engines[engine].incarnation += 1;
             }
-            Happening::Wipe => {
+            SimEvent::PowerLoss => {
                 for engine in 0..self.engines.len() {
                     self.stop(engine);
                     self.engines[engine].disk.clear();
-                    self.at(self.now + 1_000, Happening::Start(engine));
+                    self.schedule(self.now + 1_000, SimEvent::Restart(engine));
                 }
             }
         }
@@ -333,12 +341,12 @@
             if busy { "busy".to_owned() } else { rare(self.rng.random_range(0..load.rare_models)) };
         let (path, limit) = if busy { ("/chat/x", 5_000) } else { ("/draft/x", 15_000) };
         if busy {
-            self.figures.busy_asked += 1;
+            self.stats.busy_requests += 1;
         } else {
-            self.figures.rare_asked += 1;
+            self.stats.rare_requests += 1;
         }
         self.callers.insert((entry, id), Caller::new(busy, self.now, limit));
-        self.plan_leave(entry, id);
+        self.schedule_leave(entry, id);
         self.models.insert((entry, id), model.clone());
         let arrival = Arrival {
             id,
@@ -350,33 +358,34 @@
             prefix: 0,
             tokens: TokenCount::default(),
         };
-        self.entry(entry, EntryEvent::Arrive(arrival));
+        self.step_entry(entry, EntryEvent::Arrive(arrival));
     }
 
-    fn entry(&mut self, entry: usize, event: EntryEvent) {
+    fn step_entry(&mut self, entry: usize, event: EntryEvent) {
         if let EntryEvent::Finish(id, complete) = &event {
-            self.finished(entry, *id, *complete);
+            self.record_end(entry, *id, *complete);
         }
-        self.figures.steps += 1;
+        self.stats.steps += 1;
         let effects = self.entries[entry].step(Millis(self.now), event);
         for effect in effects {
-            self.entry_effect(entry, effect);
+            self.apply_effect(entry, effect);
         }
     }
 
-    fn entry_effect(&mut self, entry: usize, effect: EntryEffect) {
+    fn apply_effect(&mut self, entry: usize, effect: EntryEffect) {
         match effect {
-            EntryEffect::Send(id, sending) => {
+            EntryEffect::Send(id, dispatch) => {
                 self.cancel(entry, id);
-                let engine = self.engine_at(sending.address);
-                self.note_sent(entry, id, engine);
+                let engine = self.engine_at(dispatch.address);
+                self.record_dispatch(entry, id, engine);
                 let model = self.models[&(entry, id)].clone();
-                let number = sending.number;
-                let backup = sending.backup.map(|helper| self.engine_at(helper));
-                let copy = sending.resume.is_some_and(|resume| resume.copy);
-                let run = Run { entry, id, number, model, ends: 0, begun: false, backup, copy };
-                let reach = Happening::Reach(engine, run, sending.instance);
-                self.soon(reach);
+                let number = dispatch.number;
+                let backup = dispatch.backup.map(|helper| self.engine_at(helper));
+                let copy = dispatch.resume.is_some_and(|resume| resume.copy);
+                let run =
+                    Run { entry, id, number, model, ends_at: 0, has_output: false, backup, copy };
+                let received = SimEvent::RequestReceived(engine, run, dispatch.instance);
+                self.after_hop(received);
             }
             EntryEffect::Refuse(id, refusal) => {
                 self.cancel(entry, id);
@@ -384,41 +393,41 @@
                 let Some(caller) = self.callers.get_mut(&(entry, id)) else { return };
                 let (twice, runs) = (caller.done, caller.runs);
                 caller.done = true;
-                let late = self.now > caller.ends + 100;
-                self.figures.refused += 1;
+                let late = self.now > caller.deadline + 100;
+                self.stats.refused += 1;
                 if refusal.reason == citronrill_pool::Reason::Expired {
-                    self.figures.expired += 1;
+                    self.stats.expired += 1;
                 }
                 if status == 503 && runs > 0 {
-                    self.breaks(format!("{id:?} ran and was told that it did not"));
+                    self.record_violation(format!("{id:?} ran, but was refused as not run"));
                 }
                 if twice || late {
-                    self.breaks(format!("{id:?} ended twice ({twice}) or late ({late})"));
+                    self.record_violation(format!("{id:?} ended twice ({twice}) or late ({late})"));
                 }
             }
             EntryEffect::Cut(id) => {
                 self.cancel(entry, id);
-                self.figures.cut += 1;
+                self.stats.cut += 1;
                 if let Some(caller) = self.callers.get_mut(&(entry, id)) {
                     caller.done = true;
                 }
             }
-            EntryEffect::Want(address, want) => {
+            EntryEffect::Want(address, load_request) => {
                 let side = self.engine_at(address);
                 let link = EntryLink(entry as u64);
-                self.soon(Happening::Side(side, SideEvent::Want(link, want)));
+                self.after_hop(SimEvent::SideInput(side, SideEvent::Want(link, load_request)));
             }
             EntryEffect::Used(address, used) => {
                 let side = self.engine_at(address);
-                self.soon(Happening::Side(side, SideEvent::Used(used)));
+                self.after_hop(SimEvent::SideInput(side, SideEvent::Used(used)));
             }
             EntryEffect::Probe(address) => {
                 let side = self.engine_at(address);
-                self.soon(Happening::Probe(side, entry));
+                self.after_hop(SimEvent::ProbeReceived(side, entry));
             }
             EntryEffect::Abandon(id) => {
                 self.cancel(entry, id);
-                self.soon(Happening::Entry(entry, EntryEvent::Broke(id, Some(0))));
+                self.after_hop(SimEvent::EntryInput(entry, EntryEvent::Broke(id, Some(0))));
             }
             EntryEffect::Pass(_) | EntryEffect::Sides(_) | EntryEffect::Log(_) => {}
         }
@@ -428,35 +437,37 @@
         (0..self.engines.len()).find(|index| address(*index as u8) == at).unwrap()
     }
 
-    /// The entry has closed the connection of an earlier sending.
+    /// Cancels earlier attempts of a request, whose connections the entry has closed.
     fn cancel(&mut self, entry: usize, id: RequestId) {
         for engine in 0..self.engines.len() {
-            match self.wakes(engine) {
-                Some(wakes) => self.at(wakes, Happening::Cancel(engine, entry, id)),
-                None => self.cancel_at(engine, entry, id),
+            match self.stalled_until(engine) {
+                Some(stalled_until) => {
+                    self.schedule(stalled_until, SimEvent::RunCancelled(engine, entry, id))
+                }
+                None => self.cancel_run(engine, entry, id),
             }
         }
     }
 
-    fn cancel_at(&mut self, engine: usize, entry: usize, id: RequestId) {
+    fn cancel_run(&mut self, engine: usize, entry: usize, id: RequestId) {
         let other = |run: &Run| run.entry != entry || run.id != id;
         self.engines[engine].runs.retain(other);
         self.engines[engine].queue.retain(other);
     }
 
-    fn side(&mut self, side: usize, event: SideEvent) {
-        self.figures.steps += 1;
+    fn step_side(&mut self, side: usize, event: SideEvent) {
+        self.stats.steps += 1;
         let effects = self.sides[side].step(Millis(self.now), event);
         for effect in effects {
             match effect {
                 SideEffect::Poll => {
                     let report = self.report(side);
-                    self.soon(Happening::Side(side, SideEvent::Report(report)));
+                    self.after_hop(SimEvent::SideInput(side, SideEvent::Report(report)));
                 }
                 SideEffect::Identify(_) => {
                     if self.engines[side].up {
                         let name = self.engines[side].instance(side);
-                        self.soon(Happening::Side(side, SideEvent::Named(name)));
+                        self.after_hop(SimEvent::SideInput(side, SideEvent::Named(name)));
                     }
                 }
                 SideEffect::Order(order) => self.send_order(side, order),
@@ -464,53 +475,54 @@
                     for entry in 0..self.entries.len() {
                         if !self.rng.random_bool(self.faults.lost_states) {
                             let event = EntryEvent::Side(address(side as u8), state.clone());
-                            self.soon(Happening::Entry(entry, event));
+                            self.after_hop(SimEvent::EntryInput(entry, event));
                         }
                     }
                 }
                 SideEffect::Decline(link, name) => {
                     let event = EntryEvent::Declined(address(side as u8), name);
-                    self.soon(Happening::Entry(link.0 as usize, event));
+                    self.after_hop(SimEvent::EntryInput(link.0 as usize, event));
                 }
                 SideEffect::Log(_) => {}
             }
         }
     }
 
-    fn finished(&mut self, entry: usize, id: RequestId, complete: bool) {
+    fn record_end(&mut self, entry: usize, id: RequestId, complete: bool) {
         let Some(caller) = self.callers.get_mut(&(entry, id)) else { return };
         if caller.done {
             return;
         }
         caller.done = true;
         let target = if caller.busy { CHAT_TARGET_MS } else { DRAFT_TARGET_MS };
-        let in_time = caller.first.is_some_and(|first| first <= caller.arrived + target);
+        let in_time = caller.first_token.is_some_and(|first| first <= caller.arrived + target);
         if complete && caller.busy {
-            self.figures.busy_served += 1;
-            self.figures.busy_in_time += u32::from(in_time);
+            self.stats.busy_served += 1;
+            self.stats.busy_in_time += u32::from(in_time);
         } else if complete {
-            self.figures.rare_in_time += u32::from(in_time);
+            self.stats.rare_in_time += u32::from(in_time);
         }
     }
 
     fn tick(&mut self) {
         for entry in 0..self.entries.len() {
-            self.pass_events(entry);
-            self.entry(entry, EntryEvent::Tick);
+            self.report_progress(entry);
+            self.step_entry(entry, EntryEvent::Tick);
         }
-        for side in
-            (0..self.sides.len()).filter(|side| self.wakes(*side).is_none()).collect::<Vec<_>>()
+        for side in (0..self.sides.len())
+            .filter(|side| self.stalled_until(*side).is_none())
+            .collect::<Vec<_>>()
         {
-            self.side(side, SideEvent::Tick);
+            self.step_side(side, SideEvent::Tick);
         }
-        self.at(self.now + 20, Happening::Tick);
+        self.schedule(self.now + 20, SimEvent::Tick);
     }
 
-    fn tell_list(&mut self) {
-        self.list += 1;
+    fn send_member_list(&mut self) {
+        self.list_version += 1;
         let member = |index: usize, engine: &Engine| Member {
             instance: engine.instance(index),
-            started: engine.started(),
+            started: engine.start_time(),
             service: ENGINE.to_owned(),
             address: address(index as u8),
             zone: "a".to_owned(),
@@ -526,12 +538,13 @@
         };
         let engines = self.engines.iter().enumerate();
         let rows = engines.map(|(index, engine)| member(index, engine));
-        let rows = rows.map(|one| (one.instance.clone(), Some(one))).collect::<Vec<_>>();
+        let rows = rows.map(|member| (member.instance.clone(), Some(member))).collect::<Vec<_>>();
         for entry in 0..self.entries.len() {
-            let change = MemberChange { whole: true, version: self.list, rows: rows.clone() };
+            let change =
+                MemberChange { whole: true, version: self.list_version, rows: rows.clone() };
             let late = self.now + self.rng.random_range(5..300);
-            self.at(late, Happening::Entry(entry, EntryEvent::Members(change)));
+            self.schedule(late, SimEvent::EntryInput(entry, EntryEvent::Members(change)));
         }
-        self.at(self.now + 700, Happening::List);
+        self.schedule(self.now + 700, SimEvent::MemberList);
     }
 }
--- a/crates/pool/tests/all/world/standstill.rs
+++ b/crates/pool/tests/all/world/standstill.rs
@@ -1,157 +1,158 @@
-//! An instance that stands still, and callers who leave meanwhile.
+//! A stalled instance, and callers that leave during the stall.
 
 use std::collections::BTreeMap;
 
 use citronrill_pool::{EntryEvent, RequestId};
 use rand::Rng;
 
-use super::{Caller, Happening, World};
+use super::{Caller, SimEvent, Simulation};
 
-/// Milliseconds within which who leaves has done so.
+/// Milliseconds after arrival within which a caller that leaves early does so.
 const LEAVE_WITHIN_MS: u64 = 3_000;
-/// Milliseconds for which a run must have been to go on for it to count.
+/// Minimum remaining time of a run, in milliseconds, for it to count when its caller leaves.
 const WOULD_LAST_MS: u64 = 500;
 
-/// When an instance stands still, and when callers leave early.
+/// When an instance is stalled, and when callers leave early.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Standstill {
-    /// Milliseconds of the clock at which the busiest one stops.
+pub(crate) struct Stall {
+    /// Time at which the instance with the most runs stalls, in milliseconds.
     pub(crate) at: u64,
-    /// Milliseconds for which it does.
+    /// Duration of the stall, in milliseconds.
     pub(crate) for_ms: u64,
-    /// Milliseconds of the clock from which on callers who come leave early.
+    /// Start of the period in which arriving callers may leave early, in milliseconds.
     pub(crate) leave_from: u64,
-    /// The last millisecond of that.
+    /// End of that period, in milliseconds.
     pub(crate) leave_to: u64,
-    /// The share of them.
+    /// Share of those callers that leave early.
     pub(crate) share: f64,
 }
 
-/// What came of a standstill.
+/// Effects of a stall.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Hung {
-    /// Callers that left, with runs that would have lasted.
+pub(crate) struct StallStats {
+    /// Callers that left while their run had time remaining.
     pub(crate) left: u32,
-    /// Those of them whose run went on at the endpoint that stood still.
-    pub(crate) went_on: u32,
-    /// Milliseconds from its stop to the last request that was sent there meanwhile.
-    pub(crate) sent_late: u64,
+    /// Those of them whose run continued at the stalled endpoint.
+    pub(crate) left_running: u32,
+    /// Milliseconds from the start of the stall to the last request dispatched there during it.
+    pub(crate) last_dispatch_ms: u64,
 }
 
-/// Engines that stand still: since when and until when.
-pub(super) type Frozen = BTreeMap<usize, (u64, u64)>;
+/// Start and end of the stall of each engine that was stalled.
+pub(super) type Stalls = BTreeMap<usize, (u64, u64)>;
 
-impl World {
-    /// Has an instance stand still.
-    pub(crate) fn stand_still(&mut self, standstill: Standstill) {
-        self.standstill = Some(standstill);
-        self.at(standstill.at, Happening::Freeze(standstill.for_ms));
+impl Simulation {
+    /// Schedules a stall of the instance with the most runs.
+    pub(crate) fn stall_busiest(&mut self, stall: Stall) {
+        self.stall = Some(stall);
+        self.schedule(stall.at, SimEvent::Stall(stall.for_ms));
     }
 
-    /// Stops the instance with the most runs.
-    pub(super) fn freeze(&mut self, for_ms: u64) {
+    /// Stalls the instance with the most runs.
+    pub(super) fn stall_engine(&mut self, for_ms: u64) {
         let most = (0..self.engines.len()).max_by_key(|index| self.engines[*index].runs.len());
         let Some(index) = most else { return };
-        self.frozen.insert(index, (self.now, self.now + for_ms));
+        self.stalls.insert(index, (self.now, self.now + for_ms));
     }
 
-    /// When an engine that stands still now wakes.
-    pub(super) fn wakes(&self, index: usize) -> Option<u64> {
-        let (_, until) = self.frozen.get(&index)?;
+    /// Returns the end of the stall of an engine that is stalled now.
+    pub(super) fn stalled_until(&self, index: usize) -> Option<u64> {
+        let (_, until) = self.stalls.get(&index)?;
         (self.now < *until).then_some(*until)
     }
 
-    /// Notes where a request was sent to.
-    pub(super) fn note_sent(&mut self, entry: usize, id: RequestId, index: usize) {
-        if self.wakes(index).is_some() {
-            let (since, _) = self.frozen[&index];
+    /// Records the engine a request was dispatched to.
+    pub(super) fn record_dispatch(&mut self, entry: usize, id: RequestId, index: usize) {
+        if self.stalled_until(index).is_some() {
+            let (since, _) = self.stalls[&index];
             let late = self.now - since;
-            self.figures.hung.sent_late = self.figures.hung.sent_late.max(late);
+            self.stats.stalled.last_dispatch_ms = self.stats.stalled.last_dispatch_ms.max(late);
         }
         if let Some(caller) = self.callers.get_mut(&(entry, id)) {
-            caller.sent_to.push(index);
+            caller.engines_used.push(index);
         }
     }
 
-    /// Has a caller that comes in the wave leave early.
-    pub(super) fn plan_leave(&mut self, entry: usize, id: RequestId) {
-        let Some(plan) = self.standstill else { return };
-        let in_wave = (plan.leave_from..plan.leave_to).contains(&self.now);
-        if in_wave && self.rng.random_bool(plan.share) {
+    /// Schedules the early departure of a caller that arrives in the configured period.
+    pub(super) fn schedule_leave(&mut self, entry: usize, id: RequestId) {
+        let Some(plan) = self.stall else { return };
+        let in_period = (plan.leave_from..plan.leave_to).contains(&self.now);
+        if in_period && self.rng.random_bool(plan.share) {
             let after = self.rng.random_range(0..LEAVE_WITHIN_MS);
-            self.at(self.now + after, Happening::Leave(entry, id));
+            self.schedule(self.now + after, SimEvent::CallerLeaves(entry, id));
         }
     }
 
-    /// A caller leaves; counts whether its run goes on where nothing is heard of it.
-    pub(super) fn leave(&mut self, entry: usize, id: RequestId) {
-        let Some(caller) = self.callers.get_mut(&(entry, id)).filter(|one| !one.done) else {
+    /// Handles a caller that leaves, and counts whether its run continues at a stalled engine.
+    pub(super) fn caller_leaves(&mut self, entry: usize, id: RequestId) {
+        let Some(caller) = self.callers.get_mut(&(entry, id)).filter(|caller| !caller.done) else {
             return;
         };
         caller.done = true;
-        let sent_to = caller.sent_to.clone();
-        let stuck = sent_to.iter().any(|index| self.wakes(*index).is_some());
+        let engines_used = caller.engines_used.clone();
+        let on_stalled = engines_used.iter().any(|index| self.stalled_until(*index).is_some());
         let own = |index: &usize| {
             let runs = &self.engines[*index].runs;
             runs.iter().any(|run| {
-                run.entry == entry && run.id == id && run.ends > self.now + WOULD_LAST_MS
+                run.entry == entry && run.id == id && run.ends_at > self.now + WOULD_LAST_MS
             })
         };
-        let lasts = stuck || sent_to.iter().any(own);
-        self.figures.hung.left += u32::from(lasts);
-        self.figures.hung.went_on += u32::from(stuck);
-        self.entry(entry, EntryEvent::Leave(id));
+        let counted = on_stalled || engines_used.iter().any(own);
+        self.stats.stalled.left += u32::from(counted);
+        self.stats.stalled.left_running += u32::from(on_stalled);
+        self.step_entry(entry, EntryEvent::Leave(id));
         self.cancel(entry, id);
     }
 
-    /// Has entries hear of the streams that go on.
-    pub(super) fn pass_events(&mut self, entry: usize) {
+    /// Reports to an entry which of its streams make progress.
+    pub(super) fn report_progress(&mut self, entry: usize) {
         let engines = self.engines.iter().enumerate();
-        let moving = engines.filter(|(index, one)| one.up && self.wakes(*index).is_none());
-        let runs = moving.flat_map(|(_, engine)| &engine.runs);
-        let ids = runs.filter(|run| run.entry == entry && run.begun).map(|run| run.id);
+        let responsive =
+            engines.filter(|(index, engine)| engine.up && self.stalled_until(*index).is_none());
+        let runs = responsive.flat_map(|(_, engine)| &engine.runs);
+        let ids = runs.filter(|run| run.entry == entry && run.has_output).map(|run| run.id);
         let ids = ids.collect::<Vec<_>>();
-        self.entry(entry, EntryEvent::Progress(ids));
+        self.step_entry(entry, EntryEvent::Progress(ids));
     }
 }
 
-impl Happening {
-    /// The engine without which it cannot happen.
+impl SimEvent {
+    /// Returns the engine whose stall delays this event.
     pub(super) fn engine(&self) -> Option<usize> {
         match self {
-            Happening::Side(index, _)
-            | Happening::Reach(index, ..)
-            | Happening::First(index, ..)
-            | Happening::End(index, ..)
-            | Happening::Give(index, ..)
-            | Happening::Loaded(index, ..)
-            | Happening::Probe(index, _)
-            | Happening::Cancel(index, ..) => Some(*index),
-            Happening::Arrive(_)
-            | Happening::Entry(..)
-            | Happening::Leave(..)
-            | Happening::Freeze(_)
-            | Happening::Tick
-            | Happening::List
-            | Happening::Crash
-            | Happening::Start(_)
-            | Happening::Wipe => None,
+            SimEvent::SideInput(index, _)
+            | SimEvent::RequestReceived(index, ..)
+            | SimEvent::FirstToken(index, ..)
+            | SimEvent::RunEnds(index, ..)
+            | SimEvent::OrderReceived(index, ..)
+            | SimEvent::OrderDone(index, ..)
+            | SimEvent::ProbeReceived(index, _)
+            | SimEvent::RunCancelled(index, ..) => Some(*index),
+            SimEvent::RequestArrives(_)
+            | SimEvent::EntryInput(..)
+            | SimEvent::CallerLeaves(..)
+            | SimEvent::Stall(_)
+            | SimEvent::Tick
+            | SimEvent::MemberList
+            | SimEvent::Crash
+            | SimEvent::Restart(_)
+            | SimEvent::PowerLoss => None,
         }
     }
 }
 
 impl Caller {
-    /// A caller who has just come.
+    /// A caller that has just arrived.
     pub(super) fn new(busy: bool, arrived: u64, limit: u64) -> Caller {
         Caller {
             busy,
-            once: !busy,
+            run_once: !busy,
             arrived,
-            ends: arrived + limit,
+            deadline: arrived + limit,
             runs: 0,
-            first: None,
+            first_token: None,
             done: false,
-            sent_to: Vec::new(),
+            engines_used: Vec::new(),
         }
     }
 }
