--- a/crates/insight/src/lib.rs
+++ b/crates/insight/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the log lines of the pool's processes tell.
+//! Analysis of the log lines of the pool's processes.
 //!
-//! [`explain`] joins the lines of several processes to the story of one request; [`report`] draws a
-//! run. The crate stands apart from the processes: it knows their lines, which are an interface, and
-//! none of their types, so that it also reads the logs of an earlier version.
+//! [`explain`] joins the lines of several processes into the history of one request; [`report`]
+//! draws a run. The crate depends only on the log format, which is an interface, and on none of the
+//! types of the processes, so that it also reads the logs of earlier versions.
 
 mod line;
 mod report;
@@ -11,5 +11,5 @@
 pub use crate::{
     line::{Line, Log},
     report::{ReportError, report},
-    story::{Story, explain},
+    story::{Explanation, explain},
 };
--- a/crates/insight/src/line.rs
+++ b/crates/insight/src/line.rs
@@ -1,78 +1,79 @@
-//! Log lines as written: `key=value` pairs, values with spaces in quotes.
+//! Log lines: `key=value` pairs; values that contain spaces are quoted.
 
-/// One event of one process.
+/// A log line: one event of one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// The process, by the name of its file.
+    /// Name of the process: the name of its log file.
     pub source: String,
-    /// Milliseconds since the epoch, by the process's clock; 0 where the line tells none.
+    /// Milliseconds since the epoch, by the clock of the process; 0 if the line has no time.
     pub time: u64,
-    /// The kind of event.
+    /// Kind of event.
     pub event: String,
     fields: Vec<(String, String)>,
 }
 
 impl Line {
-    /// Reads a line; `None` if it is no event. Whatever a collector put before the pairs is passed over.
+    /// Parses a line; returns `None` if it has no `event`. Skips text that a log collector has put
+    /// before the pairs.
     pub fn parse(source: &str, text: &str) -> Option<Line> {
-        let fields = pairs(text);
+        let fields = parse_pairs(text);
         let value = |name: &str| fields.iter().find(|(key, _)| key == name).map(|(_, v)| v.clone());
         let event = value("event")?;
         let time = value("time").and_then(|time| time.parse().ok()).unwrap_or(0);
         Some(Line { source: source.to_owned(), time, event, fields })
     }
 
-    /// The value of a key; empty if it is missing.
+    /// Returns the value of a key, or an empty string if the key is missing.
     pub fn get(&self, key: &str) -> &str {
         let found = self.fields.iter().find(|(name, _)| name == key);
         found.map_or("", |(_, value)| value.as_str())
     }
 
-    /// A value as a number; 0 if it is none.
+    /// Returns the value of a key as a number, or 0 if it is missing or not a number.
     pub fn number(&self, key: &str) -> u64 {
         self.get(key).parse().unwrap_or(0)
     }
 
-    /// The pairs without level, time and kind.
-    pub fn inputs(&self) -> impl Iterator<Item = (&str, &str)> {
-        let known = ["level", "time", "event"];
+    /// Returns all pairs except level, time and event.
+    pub fn other_fields(&self) -> impl Iterator<Item = (&str, &str)> {
+        let excluded = ["level", "time", "event"];
         let fields = self.fields.iter().map(|(key, value)| (key.as_str(), value.as_str()));
-        fields.filter(move |(key, _)| !known.contains(key))
+        fields.filter(move |(key, _)| !excluded.contains(key))
     }
 }
 
-/// The `key=value` pairs of a text.
-fn pairs(text: &str) -> Vec<(String, String)> {
-    let mut found = Vec::new();
+/// Parses the `key=value` pairs of a text.
+fn parse_pairs(text: &str) -> Vec<(String, String)> {
+    let mut pairs = Vec::new();
     let mut rest = text;
-    while let Some(sign) = rest.find('=') {
-        let key = rest[..sign].rsplit(' ').next().unwrap_or("").to_owned();
-        let after = &rest[sign + 1..];
+    while let Some(equals) = rest.find('=') {
+        let key = rest[..equals].rsplit(' ').next().unwrap_or("").to_owned();
+        let after = &rest[equals + 1..];
         let (value, next) = match after.strip_prefix('"') {
             Some(quoted) => quoted.split_once('"').unwrap_or((quoted, "")),
             None => after.split_once(' ').unwrap_or((after, "")),
         };
-        found.push((key, value.to_owned()));
+        pairs.push((key, value.to_owned()));
         rest = next;
     }
-    found
+    pairs
 }
 
-/// The lines of several processes in order of time.
+/// The log lines of several processes, sorted by time.
 #[derive(Debug, Clone, Default)]
 pub struct Log {
     lines: Vec<Line>,
 }
 
 impl Log {
-    /// Adds what one process wrote.
+    /// Adds the log of one process.
     pub fn add(&mut self, source: &str, text: &str) {
         self.lines.extend(text.lines().filter_map(|line| Line::parse(source, line)));
-        // Stable: lines of one process keep their order within a millisecond.
+        // The sort is stable: lines of one process keep their order within a millisecond.
         self.lines.sort_by_key(|line| line.time);
     }
 
-    /// The lines.
+    /// Returns the lines, sorted by time.
     pub fn lines(&self) -> &[Line] {
         &self.lines
     }
--- a/crates/insight/src/report.rs
+++ b/crates/insight/src/report.rs
@@ -1,4 +1,4 @@
-//! A run as a picture.
+//! Draws a run as an SVG picture.
 
 use plotters::{
     chart::ChartBuilder,
@@ -14,67 +14,67 @@
 
 /// Width and height of the picture in pixels.
 const SIZE: (u32, u32) = (1_100, 1_000);
-/// Points on the axis of time at most.
-const POINTS: u64 = 120;
+/// Maximum number of points on the time axis.
+const MAX_POINTS: u64 = 120;
 const MARGIN: u32 = 12;
-const LABELS: u32 = 48;
+const LABEL_SIZE: u32 = 48;
 
 /// Why a picture could not be drawn.
 #[derive(Debug, Error)]
 pub enum ReportError {
-    /// No line tells its time.
-    #[error("no line tells its time")]
-    Timeless,
-    /// The picture could not be made.
-    #[error("cannot draw: {0}")]
+    /// No log line has a time.
+    #[error("no log line has a time")]
+    NoTimes,
+    /// The drawing library failed.
+    #[error("cannot draw the picture: {0}")]
     Drawing(String),
 }
 
-fn drawing(error: impl std::fmt::Display) -> ReportError {
+fn drawing_error(error: impl std::fmt::Display) -> ReportError {
     ReportError::Drawing(error.to_string())
 }
 
-/// One curve: its name and color, and a value for each step of time.
+/// A curve: its name and color, and a value for each time step.
 struct Curve {
     name: &'static str,
     color: RGBColor,
     values: Vec<f64>,
 }
 
-/// Where a run begins, and how it is divided.
-struct Steps {
-    begun: u64,
-    each: u64,
+/// The time axis: the start of a run and its division into equal steps.
+struct TimeSteps {
+    start_ms: u64,
+    step_ms: u64,
     count: usize,
 }
 
-impl Steps {
-    fn of(log: &Log) -> Result<Steps, ReportError> {
+impl TimeSteps {
+    fn new(log: &Log) -> Result<TimeSteps, ReportError> {
         let mut times = log.lines().iter().map(|line| line.time).filter(|time| *time > 0);
-        let begun = times.next().ok_or(ReportError::Timeless)?;
-        let ended = times.next_back().unwrap_or(begun);
-        let each = ((ended - begun) / POINTS).max(100);
-        Ok(Steps { begun, each, count: ((ended - begun) / each + 1) as usize })
+        let start_ms = times.next().ok_or(ReportError::NoTimes)?;
+        let end_ms = times.next_back().unwrap_or(start_ms);
+        let step_ms = ((end_ms - start_ms) / MAX_POINTS).max(100);
+        Ok(TimeSteps { start_ms, step_ms, count: ((end_ms - start_ms) / step_ms + 1) as usize })
     }
 
     fn index(&self, line: &Line) -> Option<usize> {
-        let index = line.time.checked_sub(self.begun)? / self.each;
+        let index = line.time.checked_sub(self.start_ms)? / self.step_ms;
         (index < self.count as u64).then_some(index as usize)
     }
 
-    /// Lines a second that `chosen` picks.
-    fn rate(&self, log: &Log, chosen: impl Fn(&Line) -> bool) -> Vec<f64> {
+    /// Returns the lines per second that `matches` accepts, for each step.
+    fn rate(&self, log: &Log, matches: impl Fn(&Line) -> bool) -> Vec<f64> {
         let mut values = vec![0.0; self.count];
-        for line in log.lines().iter().filter(|line| chosen(line)) {
+        for line in log.lines().iter().filter(|line| matches(line)) {
             if let Some(index) = self.index(line) {
-                values[index] += 1_000.0 / self.each as f64;
+                values[index] += 1_000.0 / self.step_ms as f64;
             }
         }
         values
     }
 
-    /// The largest value that `value` gives within each step.
-    fn most(&self, log: &Log, value: impl Fn(&Line) -> Option<f64>) -> Vec<f64> {
+    /// Returns the maximum of `value` over the lines of each step.
+    fn max(&self, log: &Log, value: impl Fn(&Line) -> Option<f64>) -> Vec<f64> {
         let mut values = vec![0.0_f64; self.count];
         for line in log.lines() {
             if let (Some(index), Some(value)) = (self.index(line), value(line)) {
@@ -85,25 +85,25 @@
     }
 }
 
-/// Draws waits, loads, refusals and changed beliefs over time as an SVG picture.
+/// Draws waiting times, loads, refusals and state changes over time as an SVG picture.
 ///
 /// # Errors
-/// No line tells its time, or the picture cannot be made.
+/// No log line has a time, or the drawing library fails.
 pub fn report(log: &Log) -> Result<String, ReportError> {
-    let steps = Steps::of(log)?;
+    let steps = TimeSteps::new(log)?;
     let event = |name: &'static str| move |line: &Line| line.event == name;
     let curve = |name, color, values| Curve { name, color, values };
-    let load = |line: &Line| line.event == "order" && line.get("kind") == "load";
-    let far = |line: &Line| line.event == "order_ended" && line.number("took_ms") > 3_000;
-    let belief = |line: &Line| {
+    let load_order = |line: &Line| line.event == "order" && line.get("kind") == "load";
+    let slow_load = |line: &Line| line.event == "order_ended" && line.number("took_ms") > 3_000;
+    let state_change = |line: &Line| {
         ["members", "text", "superseded", "endpoint_restarted"].contains(&line.event.as_str())
     };
     let lost = |line: &Line| line.event == "side_lost" || line.event == "store_lost";
     let waited = |line: &Line| (line.event == "sent").then(|| line.number("waited_ms") as f64);
-    let head = |line: &Line| (line.event == "finished").then(|| line.number("head_ms") as f64);
+    let ttfb = |line: &Line| (line.event == "finished").then(|| line.number("head_ms") as f64);
     let panels = [
         (
-            "requests a second",
+            "requests per second",
             vec![
                 curve("sent", BLUE, steps.rate(log, event("sent"))),
                 curve("finished", GREEN, steps.rate(log, event("finished"))),
@@ -112,23 +112,23 @@
             ],
         ),
         (
-            "longest time, ms",
+            "maximum time, ms",
             vec![
-                curve("waited at the entry", BLUE, steps.most(log, waited)),
-                curve("to the first byte", RED, steps.most(log, head)),
+                curve("waited at the entry", BLUE, steps.max(log, waited)),
+                curve("time to first byte", RED, steps.max(log, ttfb)),
             ],
         ),
         (
-            "loads a second",
+            "loads per second",
             vec![
-                curve("ordered", BLUE, steps.rate(log, load)),
-                curve("ended after more than 3 s", RED, steps.rate(log, far)),
+                curve("ordered", BLUE, steps.rate(log, load_order)),
+                curve("ended after more than 3 s", RED, steps.rate(log, slow_load)),
             ],
         ),
         (
-            "beliefs a second",
+            "state changes per second",
             vec![
-                curve("changed", BLUE, steps.rate(log, belief)),
+                curve("changed", BLUE, steps.rate(log, state_change)),
                 curve("dependencies lost", RED, steps.rate(log, lost)),
             ],
         ),
@@ -136,12 +136,12 @@
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        root.fill(&WHITE).map_err(drawing)?;
+        root.fill(&WHITE).map_err(drawing_error)?;
         let areas = root.split_evenly((panels.len(), 1));
         for (area, (title, curves)) in areas.iter().zip(&panels) {
             draw(area, title, curves, &steps)?;
         }
-        root.present().map_err(drawing)?;
+        root.present().map_err(drawing_error)?;
     }
     Ok(svg)
 }
@@ -150,24 +150,24 @@
     area: &DrawingArea<SVGBackend<'_>, Shift>,
     title: &str,
     curves: &[Curve],
-    steps: &Steps,
+    steps: &TimeSteps,
 ) -> Result<(), ReportError> {
     let highest = curves.iter().flat_map(|curve| &curve.values).copied().fold(1.0, f64::max);
-    let seconds = |index: usize| index as f64 * steps.each as f64 / 1_000.0;
+    let seconds = |index: usize| index as f64 * steps.step_ms as f64 / 1_000.0;
     let mut chart = ChartBuilder::on(area)
         .margin(MARGIN)
         .caption(title, ("sans-serif", 15))
-        .x_label_area_size(LABELS / 2)
-        .y_label_area_size(LABELS)
+        .x_label_area_size(LABEL_SIZE / 2)
+        .y_label_area_size(LABEL_SIZE)
         .build_cartesian_2d(0.0..seconds(steps.count), 0.0..highest * 1.05)
-        .map_err(drawing)?;
-    chart.configure_mesh().x_desc("seconds").draw().map_err(drawing)?;
+        .map_err(drawing_error)?;
+    chart.configure_mesh().x_desc("seconds").draw().map_err(drawing_error)?;
     for curve in curves {
-        let points = curve.values.iter().enumerate().map(|(at, value)| (seconds(at), *value));
+        let points = curve.values.iter().enumerate().map(|(index, value)| (seconds(index), *value));
         let color = curve.color;
         chart
             .draw_series(LineSeries::new(points, &color))
-            .map_err(drawing)?
+            .map_err(drawing_error)?
             .label(curve.name)
             .legend(move |(x, y)| {
                 plotters::element::PathElement::new(vec![(x, y), (x + 16, y)], color)
@@ -175,6 +175,6 @@
     }
     let labels = chart.configure_series_labels();
     let mut labels = labels;
-    labels.background_style(WHITE.mix(0.8)).border_style(BLACK).draw().map_err(drawing)?;
+    labels.background_style(WHITE.mix(0.8)).border_style(BLACK).draw().map_err(drawing_error)?;
     Ok(())
 }
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `citronrill apply`: offers a text.
+//! `citronrill apply`: submits a configuration.
 
 use argh::FromArgs;
 use citronrill_runtime::{Applied, apply_text};
@@ -6,14 +6,14 @@
 
 use crate::{
     exit::{CommandError, Exit},
-    files::{Platform, client, read},
+    files::{Platform, read_client_settings, read_file},
 };
 
-/// Offer an operators' text; it is accepted if the version it was made from is still in force.
+/// Submit a configuration; it is accepted if the version it is based on is still in force.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub(crate) struct Apply {
-    /// the operators' text
+    /// the configuration file
     #[argh(positional)]
     file: String,
 
@@ -21,7 +21,7 @@
     #[argh(option)]
     settings: String,
 
-    /// the version that the text was made from, if its first line does not say
+    /// the version that the configuration is based on, if its first line does not contain it
     #[argh(option)]
     base: Option<u64>,
 
@@ -32,20 +32,20 @@
 
 impl Apply {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        let settings = client(&self.settings)?;
+        let settings = read_client_settings(&self.settings)?;
         let platform = Platform::new(&settings.platform);
-        let text = read(&self.file)?;
+        let config = read_file(&self.file)?;
         let (table, objects) = (platform.table.as_ref(), platform.objects.as_ref());
-        let applied = apply_text(table, objects, &self.file, &text, self.base)?;
-        let (word, version) = match applied {
+        let applied = apply_text(table, objects, &self.file, &config, self.base)?;
+        let (outcome, version) = match applied {
             Applied::Accepted { version } => ("accepted", version),
             Applied::Unchanged { version } => ("unchanged", version),
         };
         if self.json {
-            println!("{}", json!({ "outcome": word, "version": version }));
+            println!("{}", json!({ "outcome": outcome, "version": version }));
         } else {
-            println!("{word}: version {version}");
+            println!("{outcome}: version {version}");
         }
-        Ok(Exit::Done)
+        Ok(Exit::Success)
     }
 }
--- a/src/commands/ask.rs
+++ b/src/commands/ask.rs
@@ -1,4 +1,4 @@
-//! `citronrill ask`: asks a model.
+//! `citronrill ask`: sends a question to a model.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -10,14 +10,14 @@
 
 use crate::{
     exit::{CommandError, Exit},
-    files::client,
+    files::read_client_settings,
 };
 
-/// Ask a model and stream its answer; says whether the call ran if it was refused.
+/// Send a question to a model and stream its answer; if refused, print whether the call ran.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "ask")]
 pub(crate) struct Ask {
-    /// the model or adapter
+    /// the name of the model or adapter
     #[argh(positional)]
     model: String,
 
@@ -32,22 +32,22 @@
 
 impl Ask {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        let settings = client(&self.settings)?;
+        let settings = read_client_settings(&self.settings)?;
         ask(settings.http, &settings.key, &self.model, &self.text)
     }
 }
 
-/// Asks the entry at `http` and prints the answer as it comes.
+/// Sends a question to the entry at `http` and streams the answer to standard output.
 pub(crate) fn ask(
     http: SocketAddr,
     key: &str,
     model: &str,
     text: &str,
 ) -> Result<Exit, CommandError> {
-    let question = json!({ "model": model, "stream": true,
+    let body = json!({ "model": model, "stream": true,
         "messages": [{ "role": "user", "content": text }] });
     let url = format!("http://{http}/v1/chat/completions");
-    let request = attohttpc::post(url).bearer_auth(key).json(&question)?;
+    let request = attohttpc::post(url).bearer_auth(key).json(&body)?;
     let response = request.send()?;
     let status = response.status().as_u16();
     if status != 200 {
@@ -55,29 +55,29 @@
         eprintln!("refused: status {status}: {}", problem["detail"].as_str().unwrap_or("?"));
         eprintln!("ran: {}", problem["ran"].as_str().unwrap_or("unknown"));
         if let Some(millis) = problem["retry_after_ms"].as_u64() {
-            eprintln!("come back in {millis} ms");
+            eprintln!("retry after {millis} ms");
         }
         return Ok(Exit::Refused);
     }
     let (_, _, reader) = response.split();
-    let mut whole = false;
+    let mut complete = false;
     let mut out = std::io::stdout();
     for line in BufReader::new(reader).lines() {
         let Ok(line) = line else { break };
         let Some(data) = line.strip_prefix("data: ") else { continue };
         if data == "[DONE]" {
-            whole = true;
+            complete = true;
             break;
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
-        let word = event["choices"][0]["delta"]["content"].as_str().unwrap_or_default();
-        let _ = write!(out, "{word}").and_then(|()| out.flush());
+        let token = event["choices"][0]["delta"]["content"].as_str().unwrap_or_default();
+        let _ = write!(out, "{token}").and_then(|()| out.flush());
     }
     println!();
-    if whole {
-        return Ok(Exit::Done);
+    if complete {
+        return Ok(Exit::Success);
     }
-    eprintln!("the answer was cut");
+    eprintln!("the response was truncated");
     eprintln!("ran: yes");
     Ok(Exit::Refused)
 }
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `citronrill check`: checks a text.
+//! `citronrill check`: validates a configuration.
 
 use argh::FromArgs;
 use citronrill_config::{Catalogue, Registry};
@@ -6,14 +6,14 @@
 
 use crate::{
     exit::{CommandError, Exit},
-    files::read,
+    files::read_file,
 };
 
-/// Check an operators' text; prints every error with file, line, section and key.
+/// Check a configuration; prints every error with its file, line, section and key.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct Check {
-    /// the operators' text
+    /// the configuration file
     #[argh(positional)]
     file: String,
 
@@ -24,8 +24,8 @@
 
 impl Check {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        let text = read(&self.file)?;
-        match Catalogue::compile(&self.file, &text, 0, &mut Registry::default()) {
+        let config = read_file(&self.file)?;
+        match Catalogue::compile(&self.file, &config, 0, &mut Registry::default()) {
             Ok(catalogue) => {
                 let (organisations, services, models) = (
                     catalogue.organisations.len(),
@@ -43,7 +43,7 @@
                         self.file
                     );
                 }
-                Ok(Exit::Done)
+                Ok(Exit::Success)
             }
             Err(errors) if self.json => {
                 let errors = errors.0.iter().map(|error| {
--- a/src/commands/dev.rs
+++ b/src/commands/dev.rs
@@ -1,4 +1,4 @@
-//! `citronrill dev`: everything in one process on loopback.
+//! `citronrill dev`: runs the whole system in one process on the loopback interface.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -22,35 +22,35 @@
 use super::{ask::ask, stop_signals};
 use crate::{
     exit::{CommandError, Exit},
-    files::{Platform, read},
+    files::{Platform, read_file},
 };
 
-/// Engines that `dev` starts.
+/// Number of engines that `dev` starts.
 const ENGINES: usize = 3;
-/// Each engine holds this many of the largest model.
+/// Memory of each engine, in multiples of the largest model.
 const ENGINE_MODELS: u64 = 2;
-/// Time of a load from the weight store, in milliseconds.
+/// Duration of a load from the weight store, in milliseconds.
 const LOAD_MS: u64 = 1_500;
 const TOKEN_MS: u64 = 40;
 const SLOTS: u64 = 8;
 const STOP_S: u64 = 10;
 const SECRET: &str = "dev";
-/// How long `dev` waits for its own processes to be ready.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// How long `dev` waits for its own processes to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Run the whole system with stand-ins in one process, for a first look.
+/// Run the whole system with stand-ins in one process, to try it out.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "dev")]
 pub(crate) struct Dev {
-    /// the operators' text
+    /// the configuration file
     #[argh(option)]
     config: String,
 
-    /// where callers reach the entry; a free port if none is given
+    /// the address on which the entry accepts callers; by default a free port on loopback
     #[argh(option)]
     http: Option<SocketAddr>,
 
-    /// ask this model once, print the answer and stop
+    /// send one question to this model, print the answer and stop
     #[argh(option)]
     ask: Option<String>,
 
@@ -59,7 +59,7 @@
     text: String,
 }
 
-/// What runs; dropped in this order.
+/// The running processes and stand-ins, in the order in which they are dropped.
 struct Running {
     entry: EntryProcess,
     sides: Vec<SideProcess>,
@@ -70,16 +70,16 @@
 
 impl Dev {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        let text = with_dev_keys(&read(&self.config)?);
+        let config = with_dev_keys(&read_file(&self.config)?);
         let mut registry = Registry::default();
-        let catalogue = Catalogue::compile(&self.config, &text, 0, &mut registry)?;
-        let running = start(&self.config, &text, &catalogue, &registry, self.http)?;
+        let catalogue = Catalogue::compile(&self.config, &config, 0, &mut registry)?;
+        let running = start(&self.config, &config, &catalogue, &registry, self.http)?;
         let http = running.entry.http_address();
-        wait_until("a ready entry", || healthy(http) && knows_endpoints(&running))?;
+        wait_until("a ready entry", || healthy(http) && knows_all_endpoints(&running))?;
         if let Some(model) = &self.ask {
             let key = key_for(&catalogue, &registry, model)?;
             let exit = ask(http, &key, model, &self.text)?;
-            stop(running);
+            shut_down(running);
             return Ok(exit);
         }
         println!("serving on http://{http}/v1 ; keys:");
@@ -88,12 +88,12 @@
         }
         let signals = stop_signals()?;
         let _ = signals.recv();
-        stop(running);
-        Ok(Exit::Done)
+        shut_down(running);
+        Ok(Exit::Success)
     }
 }
 
-fn stop(running: Running) {
+fn shut_down(running: Running) {
     running.entry.drain();
     running.sides.iter().for_each(|side| side.drain(true));
     running.entry.wait();
@@ -105,10 +105,10 @@
     format!("dev-{org}")
 }
 
-/// Gives every organisation a key that `dev` can print.
-fn with_dev_keys(text: &str) -> String {
+/// Adds an API key that `dev` can print to every organisation.
+fn with_dev_keys(config: &str) -> String {
     let mut result = String::new();
-    for line in text.lines() {
+    for line in config.lines() {
         result.push_str(line);
         result.push('\n');
         let header = line.trim().strip_prefix("[organisation ");
@@ -127,28 +127,29 @@
 ) -> Result<String, CommandError> {
     let key = registry.models.get(model).and_then(|key| catalogue.models.get(&key));
     let org = key.and_then(|model| catalogue.organisations.get(&model.org));
-    Ok(dev_key(&org.ok_or(CommandError::Nothing("such model"))?.name))
+    Ok(dev_key(&org.ok_or(CommandError::Missing("the configuration has no such model"))?.name))
 }
 
-fn free() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
 fn start(
     file: &str,
-    text: &str,
+    config: &str,
     catalogue: &Catalogue,
     registry: &Registry,
     http: Option<SocketAddr>,
 ) -> Result<Running, CommandError> {
     let pool = &catalogue.pool;
     let limits = WeightLimits { once: pool.loads_once, second: pool.loads_second };
-    let platform = PlatformStandin::start(free(), limits)?;
+    let platform = PlatformStandin::start(any_port(), limits)?;
     let address = platform.address();
-    let clients = Platform::new(&at(address));
-    apply_text(clients.table.as_ref(), clients.objects.as_ref(), file, text, Some(0))?;
+    let clients = Platform::new(&platform_settings(address));
+    apply_text(clients.table.as_ref(), clients.objects.as_ref(), file, config, Some(0))?;
     let largest = catalogue.models.values().map(|model| model.peak_mb).max();
-    let memory_mb = largest.ok_or(CommandError::Nothing("model"))? * ENGINE_MODELS;
+    let memory_mb =
+        largest.ok_or(CommandError::Missing("the configuration has no model"))? * ENGINE_MODELS;
     let (mut engines, mut plains, mut sides) = (Vec::new(), Vec::new(), Vec::new());
     for index in 0..ENGINES {
         let options = EngineOptions {
@@ -158,23 +159,24 @@
             token_ms: TOKEN_MS,
             weights: Some(address),
         };
-        let engine = EngineStandin::start(free(), options)?;
+        let engine = EngineStandin::start(any_port(), options)?;
         let name = format!("worker-{}", index + 1);
         let kind = SideKind::Engine;
         sides.push(start_side(&platform, &name, index, engine.address(), kind, memory_mb)?);
         engines.push(engine);
     }
-    let plain = catalogue.services.values().filter(|it| it.kind == ServiceKind::Plain);
-    for endpoint in plain.flat_map(|service| &service.endpoints) {
-        let service = PlainStandin::start(free(), 0)?;
+    let plain_services =
+        catalogue.services.values().filter(|service| service.kind == ServiceKind::Plain);
+    for endpoint in plain_services.flat_map(|service| &service.endpoints) {
+        let service = PlainStandin::start(any_port(), 0)?;
         let name = registry.endpoints.name(*endpoint);
         let kind = SideKind::Plain;
         sides.push(start_side(&platform, name, plains.len(), service.address(), kind, 0)?);
         plains.push(service);
     }
     let settings = EntrySettings {
-        common: common("entry-1", 0, address),
-        http: http.unwrap_or(free()),
+        common: common_settings("entry-1", 0, address),
+        http: http.unwrap_or(any_port()),
         body_limit: 8 << 20,
         request_limit: 10_000,
     };
@@ -185,7 +187,7 @@
         policies: Policies::default(),
     };
     let entry = EntryProcess::start(&settings, options)?;
-    list(&platform, "entry-1", 0, entry.listen_address(), Role::Entry);
+    register(&platform, "entry-1", 0, entry.listen_address(), Role::Entry);
     let (engines, plains) = (engines, plains);
     Ok(Running { entry, sides, _engines: engines, _plains: plains, platform })
 }
@@ -200,7 +202,7 @@
 ) -> Result<SideProcess, CommandError> {
     let address = platform.address();
     let settings = SideSettings {
-        common: common(name, index, address),
+        common: common_settings(name, index, address),
         endpoint: name.to_owned(),
         target,
         kind,
@@ -208,14 +210,14 @@
         slots: SLOTS,
         fencing: index == 0,
     };
-    let clients = Platform::new(&at(address));
+    let clients = Platform::new(&platform_settings(address));
     let options = SideOptions { table: clients.table, instances: clients.instances };
     let side = SideProcess::start(&settings, options)?;
-    list(platform, name, index, side.listen_address(), Role::Side);
+    register(platform, name, index, side.listen_address(), Role::Side);
     Ok(side)
 }
 
-fn at(address: SocketAddr) -> PlatformSettings {
+fn platform_settings(address: SocketAddr) -> PlatformSettings {
     PlatformSettings { table: address, objects: address, instances: address }
 }
 
@@ -223,18 +225,18 @@
     ["dev-a", "dev-b", "dev-c"][index % 3].to_owned()
 }
 
-fn common(name: &str, index: usize, platform: SocketAddr) -> Settings {
+fn common_settings(name: &str, index: usize, platform: SocketAddr) -> Settings {
     Settings {
         instance: name.to_owned(),
         zone: zone(index),
-        listen: free(),
+        listen: any_port(),
         secret: SECRET.to_owned(),
         stop_s: STOP_S,
-        platform: at(platform),
+        platform: platform_settings(platform),
     }
 }
 
-fn list(platform: &PlatformStandin, name: &str, index: usize, address: SocketAddr, role: Role) {
+fn register(platform: &PlatformStandin, name: &str, index: usize, address: SocketAddr, role: Role) {
     let (name, address) = (name.to_owned(), address.to_string());
     platform.list(Instance { name, zone: zone(index), address, role, leaving: false });
 }
@@ -244,20 +246,20 @@
     response.is_ok_and(|response| response.is_success())
 }
 
-/// Whether the entry has heard of every side.
-fn knows_endpoints(running: &Running) -> bool {
+/// Returns whether the entry knows the endpoints of all sides.
+fn knows_all_endpoints(running: &Running) -> bool {
     let state = dump_json(running.entry.listen_address(), SECRET);
     let endpoints = state.ok().and_then(|state| Some(state["endpoints"].as_object()?.len()));
     endpoints == Some(running.sides.len())
 }
 
-fn wait_until(what: &'static str, done: impl Fn() -> bool) -> Result<(), CommandError> {
-    let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
-        if done() {
+fn wait_until(condition: &'static str, is_met: impl Fn() -> bool) -> Result<(), CommandError> {
+    let started = Instant::now();
+    while started.elapsed() < READY_TIMEOUT {
+        if is_met() {
             return Ok(());
         }
         std::thread::park_timeout(Duration::from_millis(20));
     }
-    Err(CommandError::Patience(what))
+    Err(CommandError::Timeout(condition))
 }
--- a/src/commands/dump.rs
+++ b/src/commands/dump.rs
@@ -1,4 +1,4 @@
-//! `citronrill dump`: a process's whole state.
+//! `citronrill dump`: prints the state of a process.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 
 use crate::{
     exit::{CommandError, Exit},
-    files::client,
+    files::read_client_settings,
 };
 
-/// Print a process's whole state as JSON, without keys and secrets.
+/// Print the complete state of a process as JSON, without keys and secrets.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "dump")]
 pub(crate) struct Dump {
-    /// where the process listens for peers
+    /// the address on which the process listens for peers
     #[argh(positional)]
     address: SocketAddr,
 
@@ -25,11 +25,11 @@
 
 impl Dump {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        let settings = client(&self.settings)?;
+        let settings = read_client_settings(&self.settings)?;
         let address = self.address.to_string();
         let json = ask_dump(self.address, &settings.secret)
             .map_err(|source| CommandError::Peer { address, source })?;
         println!("{json}");
-        Ok(Exit::Done)
+        Ok(Exit::Success)
     }
 }
--- a/src/commands/entry.rs
+++ b/src/commands/entry.rs
@@ -1,4 +1,4 @@
-//! `citronrill entry`: an entry process.
+//! `citronrill entry`: runs an entry process.
 
 use argh::FromArgs;
 use citronrill_config::EntrySettings;
@@ -8,10 +8,10 @@
 use super::stop_signals;
 use crate::{
     exit::{CommandError, Exit},
-    files::{Platform, read},
+    files::{Platform, read_file},
 };
 
-/// Run an entry process: takes callers' requests and decides for its models.
+/// Run an entry process: accepts callers' requests and coordinates its share of the models.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "entry")]
 pub(crate) struct Entry {
@@ -22,7 +22,7 @@
 
 impl Entry {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        let settings = EntrySettings::parse(&self.settings, &read(&self.settings)?)?;
+        let settings = EntrySettings::parse(&self.settings, &read_file(&self.settings)?)?;
         let platform = Platform::new(&settings.common.platform);
         let stop = stop_signals()?;
         let process = EntryProcess::start(
@@ -44,6 +44,6 @@
             process.drain();
         }
         process.wait();
-        Ok(Exit::Done)
+        Ok(Exit::Success)
     }
 }
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,36 +1,36 @@
-//! `citronrill explain`: one request's story from the logs of several processes.
+//! `citronrill explain`: prints the history of one request from the logs of several processes.
 
 use argh::FromArgs;
 use citronrill_insight::explain;
 
 use crate::{
     exit::{CommandError, Exit},
-    files::logs,
+    files::read_logs,
 };
 
-/// Tell what became of a request and why, from the logs of the pool's processes.
+/// Explain how a request ended and why, from the logs of the pool's processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct Explain {
-    /// the request's id, as its caller has it
+    /// the id of the request, as its caller knows it
     #[argh(positional)]
     id: String,
 
-    /// what the processes wrote, one file each
+    /// the log files, one per process
     #[argh(positional)]
     files: Vec<String>,
 }
 
 impl Explain {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        match explain(&logs(&self.files)?, &self.id) {
-            Some(story) => {
-                print!("{story}");
-                Ok(Exit::Done)
+        match explain(&read_logs(&self.files)?, &self.id) {
+            Some(explanation) => {
+                print!("{explanation}");
+                Ok(Exit::Success)
             }
             None => {
-                eprintln!("no line names {}", self.id);
-                Ok(Exit::Failed)
+                eprintln!("no log line has the id {}", self.id);
+                Ok(Exit::Failure)
             }
         }
     }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -31,7 +31,7 @@
 
 use crate::exit::{CommandError, Exit};
 
-/// What the binary is to do.
+/// The subcommand to run.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub(crate) enum Command {
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Whether log lines go to standard output: where the platform collects them.
-    pub(crate) fn logs_out(&self) -> bool {
+    /// Returns whether log lines go to standard output, from which the platform collects them.
+    pub(crate) fn logs_to_stdout(&self) -> bool {
         matches!(self, Command::PoolEntry(_) | Command::PoolSide(_))
     }
 
-    /// Processes log what happens; commands print their result and log only warnings.
+    /// Returns the default log level: processes log events, other commands only warnings.
     pub(crate) fn default_log(&self) -> &'static str {
         match self {
             Command::Entry(_) | Command::Side(_) | Command::PoolEntry(_) | Command::PoolSide(_) => {
@@ -93,22 +93,22 @@
     }
 }
 
-/// A signal that asks for a planned stop.
+/// A signal that requests a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StopSignal {
-    /// The instance goes: give everything back.
-    Leave,
-    /// Only the process is replaced: leave what is loaded to the successor.
+    /// The instance shuts down: its models are unloaded and its rows removed.
+    Shutdown,
+    /// Only the process is replaced: the loaded models are handed over to its successor.
     HandOver,
 }
 
-/// Watches SIGTERM and SIGINT (leave) and SIGUSR1 (hand over).
+/// Watches for SIGTERM and SIGINT (shutdown) and SIGUSR1 (handover).
 pub(crate) fn stop_signals() -> Result<Receiver<StopSignal>, CommandError> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGUSR1]).map_err(CommandError::Signals)?;
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
         for signal in signals.forever() {
-            let stop = if signal == SIGUSR1 { StopSignal::HandOver } else { StopSignal::Leave };
+            let stop = if signal == SIGUSR1 { StopSignal::HandOver } else { StopSignal::Shutdown };
             if sender.send(stop).is_err() {
                 break;
             }
--- a/src/commands/replay.rs
+++ b/src/commands/replay.rs
@@ -1,4 +1,4 @@
-//! `citronrill replay`: arrival traces over the reducers on virtual time.
+//! `citronrill replay`: replays arrival traces through the reducers on virtual time.
 
 use std::thread;
 
@@ -13,15 +13,15 @@
 const DEPLOYMENTS: [&Deployment; 2] = [&VIENNA, &LITORAL];
 const RULES: [Rules; 5] = [OURS, NAIVE, FIXED_SHORT, FIXED_MIDDLE, FIXED_LONG];
 
-/// Replay arrival traces of both deployments over the reducers on virtual time; print a table.
+/// Replay arrival traces of both deployments through the reducers on virtual time; print a table.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 pub(crate) struct Replay {
-    /// days to replay
+    /// number of days to replay
     #[argh(option, default = "5")]
     days: u64,
 
-    /// first days that are learned from and not reported on
+    /// number of first days that warm up the policies and are not reported
     #[argh(option, default = "3")]
     warm_up: u64,
 }
@@ -44,29 +44,29 @@
             }
             for (deployment, rules, run) in runs {
                 if let Ok(report) = run.join() {
-                    println!("{}", line(deployment, rules, &report));
+                    println!("{}", format_row(deployment, rules, &report));
                 }
             }
         });
-        Ok(Exit::Done)
+        Ok(Exit::Success)
     }
 }
 
-fn line(deployment: &str, rules: &str, it: &ReplayReport) -> String {
-    let [p50, p99, p999] = it.cold_ms;
-    let reads = (it.operations.polls + it.operations.reads) as f64 / it.seconds;
-    let writes = it.operations.entry_commits + it.operations.side_commits;
+fn format_row(deployment: &str, rules: &str, report: &ReplayReport) -> String {
+    let [p50, p99, p999] = report.cold_ms;
+    let reads = (report.operations.polls + report.operations.reads) as f64 / report.seconds;
+    let writes = report.operations.entry_commits + report.operations.side_commits;
     format!(
         "| {deployment} | {rules} | {} | {} | {} | {p50} | {p99} | {p999} | {} | {:.1} | {:.1} | {} \
          | {reads:.2} | {:.3} | {} |",
-        it.requests,
-        it.refused,
-        it.colds,
-        it.bound_ms[1],
-        it.idle_hours,
-        it.clairvoyant_hours,
-        it.loads,
-        writes as f64 / it.seconds,
-        it.operations.conflicts,
+        report.requests,
+        report.refused,
+        report.colds,
+        report.bound_ms[1],
+        report.idle_hours,
+        report.clairvoyant_hours,
+        report.loads,
+        writes as f64 / report.seconds,
+        report.operations.conflicts,
     )
 }
--- a/src/commands/report.rs
+++ b/src/commands/report.rs
@@ -1,25 +1,25 @@
-//! `citronrill report`: a run as a picture.
+//! `citronrill report`: draws a run as an SVG picture.
 
 use argh::FromArgs;
 use citronrill_insight::report;
 
 use crate::{
     exit::{CommandError, Exit},
-    files::logs,
+    files::read_logs,
 };
 
-/// Draw waits, loads, refusals and changed beliefs of a run as an SVG picture on standard output.
+/// Draw waiting times, loads, refusals and state changes of a run as SVG on standard output.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "report")]
 pub(crate) struct Report {
-    /// what the processes wrote, one file each
+    /// the log files, one per process
     #[argh(positional)]
     files: Vec<String>,
 }
 
 impl Report {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        println!("{}", report(&logs(&self.files)?)?);
-        Ok(Exit::Done)
+        println!("{}", report(&read_logs(&self.files)?)?);
+        Ok(Exit::Success)
     }
 }
--- a/src/commands/show.rs
+++ b/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `citronrill show`: prints the text in force.
+//! `citronrill show`: prints the configuration in force.
 
 use argh::FromArgs;
 use citronrill_runtime::{base_version, current_text};
@@ -6,10 +6,10 @@
 
 use crate::{
     exit::{CommandError, Exit},
-    files::{Platform, client},
+    files::{Platform, read_client_settings},
 };
 
-/// Print the text in force, with its version in the first line for the next `apply`.
+/// Print the configuration in force. Its first line contains the version, for the next `apply`.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 pub(crate) struct Show {
@@ -24,12 +24,12 @@
 
 impl Show {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        let settings = client(&self.settings)?;
+        let settings = read_client_settings(&self.settings)?;
         let platform = Platform::new(&settings.platform);
-        let (head, text) = current_text(platform.table.as_ref(), platform.objects.as_ref())?;
-        let body = match base_version(&text) {
-            Some(_) => text.split_once('\n').map_or("", |(_, rest)| rest),
-            None => &text,
+        let (head, config) = current_text(platform.table.as_ref(), platform.objects.as_ref())?;
+        let body = match base_version(&config) {
+            Some(_) => config.split_once('\n').map_or("", |(_, rest)| rest),
+            None => &config,
         };
         if self.json {
             let document = json!({ "version": head.version, "digest": head.digest, "text": body });
@@ -38,6 +38,6 @@
             println!("; version {}", head.version);
             print!("{body}");
         }
-        Ok(Exit::Done)
+        Ok(Exit::Success)
     }
 }
--- a/src/commands/side.rs
+++ b/src/commands/side.rs
@@ -1,4 +1,4 @@
-//! `citronrill side`: a side process.
+//! `citronrill side`: runs a side process.
 
 use std::{
     sync::{
@@ -15,10 +15,10 @@
 use super::{StopSignal, stop_signals};
 use crate::{
     exit::{CommandError, Exit},
-    files::{Platform, read},
+    files::{Platform, read_file},
 };
 
-/// Run a side process in an endpoint's slot: owns the endpoint's ledger and runs its calls.
+/// Run a side process in an endpoint's slot: owns the endpoint's ledger and executes its calls.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "side")]
 pub(crate) struct Side {
@@ -29,7 +29,7 @@
 
 impl Side {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        let settings = SideSettings::parse(&self.settings, &read(&self.settings)?)?;
+        let settings = SideSettings::parse(&self.settings, &read_file(&self.settings)?)?;
         let platform = Platform::new(&settings.common.platform);
         let stop = stop_signals()?;
         let process = SideProcess::start(
@@ -42,18 +42,18 @@
             settings.endpoint,
             process.listen_address()
         );
-        let over = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::new(AtomicBool::new(false));
         let drain = process.drainer();
-        let watched = over.clone();
+        let already_stopped = stopped.clone();
         thread::spawn(move || {
             if let Ok(signal) = stop.recv()
-                && !watched.load(Ordering::Acquire)
+                && !already_stopped.load(Ordering::Acquire)
             {
-                drain(signal == StopSignal::Leave);
+                drain(signal == StopSignal::Shutdown);
             }
         });
         process.wait();
-        over.store(true, Ordering::Release);
-        Ok(Exit::Done)
+        stopped.store(true, Ordering::Release);
+        Ok(Exit::Success)
     }
 }
--- a/src/commands/slopes.rs
+++ b/src/commands/slopes.rs
@@ -1,4 +1,4 @@
-//! `citronrill slopes`: what control costs, by size.
+//! `citronrill slopes`: measures the cost of the control plane by deployment size.
 
 use std::thread;
 
@@ -7,13 +7,13 @@
 
 use crate::exit::{CommandError, Exit};
 
-/// Sizes below the plan's, each a part of it.
-const PARTS: [usize; 4] = [16, 8, 4, 2];
-/// Sizes at which one thing alone is varied.
-const ADAPTERS: [usize; 2] = [100, 1_000];
+/// Divisors of the planned deployment size, for smaller sizes.
+const DIVISORS: [usize; 4] = [16, 8, 4, 2];
+/// Adapter counts of sizes that differ in nothing else.
+const ADAPTER_COUNTS: [usize; 2] = [100, 1_000];
 
-/// Today's deployments: Vienna and the river yards.
-const TODAY: [Size; 2] = [
+/// Sizes of the current deployments: Vienna and Litoral.
+const CURRENT_SIZES: [Size; 2] = [
     Size { entries: 3, sides: 21, models: 100, adapters: 120, zones: 3, requests: 10, wakes: 53 },
     Size { entries: 3, sides: 12, models: 50, adapters: 40, zones: 3, requests: 5, wakes: 22 },
 ];
@@ -22,11 +22,11 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "slopes")]
 pub(crate) struct Slopes {
-    /// virtual seconds of calm to measure at each size
+    /// virtual seconds of steady state to measure at each size
     #[argh(option, default = "20")]
     seconds: u64,
 
-    /// leave out the size of the plan itself
+    /// leave out the full planned size
     #[argh(switch)]
     small: bool,
 }
@@ -40,56 +40,58 @@
         );
         println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
         let seconds = self.seconds;
-        let events = thread::scope(|scope| {
+        let reports = thread::scope(|scope| {
             let runs = self.sizes().into_iter();
             let runs = runs.map(|size| (size, scope.spawn(move || scale(&size, seconds))));
             let runs = runs.collect::<Vec<_>>();
-            let done = runs.into_iter().filter_map(|(size, run)| Some((size, run.join().ok()?)));
-            done.collect::<Vec<_>>()
+            let results = runs.into_iter().filter_map(|(size, run)| Some((size, run.join().ok()?)));
+            results.collect::<Vec<_>>()
         });
-        for (size, report) in &events {
-            println!("{}", line(size, report));
+        for (size, report) in &reports {
+            println!("{}", format_row(size, report));
         }
         println!();
         println!(
             "| entries | morning burst reads, writes in 10 s | zone loss in 30 s | restart of a zone in 10 s | rows |"
         );
         println!("|---|---|---|---|---|");
-        for (size, report) in &events {
-            let spent = |it: Operations| format!("{}, {}", it.polls + it.reads, writes(it));
+        for (size, report) in &reports {
+            let reads_writes = |operations: Operations| {
+                format!("{}, {}", operations.polls + operations.reads, writes(operations))
+            };
             println!(
                 "| {} | {} | {} | {} | {} |",
                 size.entries,
-                spent(report.morning),
-                spent(report.zone),
-                spent(report.restart),
+                reads_writes(report.morning),
+                reads_writes(report.zone),
+                reads_writes(report.restart),
                 report.rows
             );
         }
         println!();
-        println!("Bytes a second that one entry takes, by what they are for:");
-        for (size, report) in &events {
+        println!("Bytes per second received by one entry, by message kind:");
+        for (size, report) in &reports {
             let kinds = report.kinds.iter().filter(|(_, bytes)| *bytes >= 0.5);
             let kinds = kinds.map(|(kind, bytes)| format!("{kind} {bytes:.0}"));
             println!("- {} entries: {}", size.entries, kinds.collect::<Vec<_>>().join(", "));
         }
-        Ok(Exit::Done)
+        Ok(Exit::Success)
     }
 
     fn sizes(&self) -> Vec<Size> {
         let mut sizes = Vec::new();
-        for part in PARTS {
+        for divisor in DIVISORS {
             sizes.push(Size {
-                entries: PLAN.entries / part,
-                sides: PLAN.sides / part,
-                requests: PLAN.requests / part as u64,
+                entries: PLAN.entries / divisor,
+                sides: PLAN.sides / divisor,
+                requests: PLAN.requests / divisor as u64,
                 ..PLAN
             });
         }
-        for adapters in ADAPTERS {
+        for adapters in ADAPTER_COUNTS {
             sizes.push(Size { entries: 20, sides: 36, requests: 250, adapters, ..PLAN });
         }
-        sizes.extend(TODAY);
+        sizes.extend(CURRENT_SIZES);
         if !self.small {
             sizes.push(PLAN);
         }
@@ -101,8 +103,8 @@
     operations.entry_commits + operations.side_commits
 }
 
-fn line(size: &Size, it: &ScaleReport) -> String {
-    let second = |count: u64| count as f64 / it.seconds;
+fn format_row(size: &Size, report: &ScaleReport) -> String {
+    let per_second = |count: u64| count as f64 / report.seconds;
     format!(
         "| {} | {} | {} | {} | {} | {:.0} ({:.0}) | {:.0} | {:.0} | {:.0} | {:.0} | {:.1} | {} | {} \
          | {} | {} ({}) |",
@@ -111,17 +113,17 @@
         size.models,
         size.adapters,
         size.requests,
-        it.entry_bytes.0,
-        it.entry_bytes.1,
-        it.side_bytes,
-        it.entry_us,
-        it.side_us,
-        second(it.calm.polls + it.calm.reads),
-        second(writes(it.calm)),
-        it.config_ms,
-        it.placement_ms,
-        it.leaving_ms,
-        it.burst.0,
-        it.burst.1
+        report.entry_bytes.0,
+        report.entry_bytes.1,
+        report.side_bytes,
+        report.entry_us,
+        report.side_us,
+        per_second(report.calm.polls + report.calm.reads),
+        per_second(writes(report.calm)),
+        report.config_ms,
+        report.placement_ms,
+        report.leaving_ms,
+        report.burst.0,
+        report.burst.1
     )
 }
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `citronrill status`: which version is in force where.
+//! `citronrill status`: shows the configuration version of every process.
 
 use argh::FromArgs;
 use citronrill_platform::Instances;
@@ -7,10 +7,10 @@
 
 use crate::{
     exit::{CommandError, Exit},
-    files::{Platform, client},
+    files::{Platform, read_client_settings},
 };
 
-/// Show which version is in force at every process, and which processes lag or do not answer.
+/// Show the configuration version of every process, and which processes lag or do not answer.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(crate) struct Status {
@@ -25,19 +25,19 @@
 
 impl Status {
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
-        let settings = client(&self.settings)?;
+        let settings = read_client_settings(&self.settings)?;
         let platform = Platform::new(&settings.platform);
         let accepted = head(platform.table.as_ref()).map(|(head, _)| head.version);
-        let list = platform.instances.list()?;
+        let instances = platform.instances.list()?;
         let mut rows = Vec::new();
-        for instance in &list {
+        for instance in &instances {
             let state = instance.address.parse().ok();
             let state = state.and_then(|address| dump_json(address, &settings.secret).ok());
-            rows.push(describe(&instance.name, &instance.zone, instance.leaving, state));
+            rows.push(instance_row(&instance.name, &instance.zone, instance.leaving, state));
         }
-        // While the table is away, the highest version that any process has counts.
-        let seen = rows.iter().filter_map(|row| row["version"].as_u64()).max().unwrap_or(0);
-        let current = accepted.as_ref().copied().unwrap_or(seen);
+        // While the table is unavailable, the highest version of any process counts as current.
+        let highest = rows.iter().filter_map(|row| row["version"].as_u64()).max().unwrap_or(0);
+        let current = accepted.as_ref().copied().unwrap_or(highest);
         let lagging = rows.iter().filter(|row| row["version"].as_u64() != Some(current)).count();
         if self.json {
             let document = json!({ "version": current, "store_up": accepted.is_ok(),
@@ -47,21 +47,21 @@
             let store = if accepted.is_ok() { "up" } else { "away" };
             println!("version {current}, store {store}, {lagging} of {} lag", rows.len());
             for row in &rows {
-                println!("{}", line(row, current));
+                println!("{}", format_row(row, current));
             }
         }
-        Ok(if lagging == 0 { Exit::Done } else { Exit::Lagging })
+        Ok(if lagging == 0 { Exit::Success } else { Exit::Lagging })
     }
 }
 
-fn describe(name: &str, zone: &str, leaving: bool, state: Option<Value>) -> Value {
+fn instance_row(name: &str, zone: &str, leaving: bool, state: Option<Value>) -> Value {
     let state = state.unwrap_or_default();
     json!({ "instance": name, "zone": zone, "leaving": leaving, "role": state["role"],
         "version": state["version"], "confirmed": state["confirmed"] })
 }
 
-fn line(row: &Value, current: u64) -> String {
-    let word = |value: &Value| value.as_str().unwrap_or("?").to_owned();
+fn format_row(row: &Value, current: u64) -> String {
+    let string = |value: &Value| value.as_str().unwrap_or("?").to_owned();
     let state = match row["version"].as_u64() {
         None => "does not answer".to_owned(),
         Some(version) if version != current => format!("version {version}, lags"),
@@ -71,6 +71,6 @@
         Some(version) => format!("version {version}"),
     };
     let leaving = if row["leaving"] == json!(true) { ", leaving" } else { "" };
-    let (name, zone, role) = (word(&row["instance"]), word(&row["zone"]), word(&row["role"]));
+    let (name, zone, role) = (string(&row["instance"]), string(&row["zone"]), string(&row["role"]));
     format!("{name:24} {zone:16} {role:6} {state}{leaving}")
 }
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -10,30 +10,30 @@
 use citronrill_wire::WireError;
 use thiserror::Error;
 
-/// What a command's exit code says.
+/// The outcome of a command, reported as its exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// It was done.
-    Done,
-    /// A service or process did not answer.
-    Failed,
-    /// The command line, a text or a settings file is wrong.
+    /// The command succeeded.
+    Success,
+    /// Any other failure, such as a service or process that did not answer.
+    Failure,
+    /// The command line, a configuration or a settings file is invalid.
     Usage,
-    /// Another offer was faster.
-    Lost,
+    /// Another configuration was accepted first.
+    Conflict,
     /// The request was refused.
     Refused,
-    /// Some process lags behind the version in force.
+    /// A process lags behind the version in force.
     Lagging,
 }
 
 impl From<Exit> for ExitCode {
     fn from(exit: Exit) -> ExitCode {
         ExitCode::from(match exit {
-            Exit::Done => 0,
-            Exit::Failed => 1,
+            Exit::Success => 0,
+            Exit::Failure => 1,
             Exit::Usage => 2,
-            Exit::Lost => 3,
+            Exit::Conflict => 3,
             Exit::Refused => 4,
             Exit::Lagging => 5,
         })
@@ -43,27 +43,27 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
-    /// A text or a settings file is wrong.
+    /// A configuration or a settings file is invalid.
     #[error("{0}")]
     Config(#[from] ConfigErrors),
     /// A file could not be read.
     #[error("cannot read {file}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// An offer was not accepted.
+    /// A configuration was not accepted.
     #[error("{0}")]
     Apply(#[from] ApplyError),
     /// The platform did not answer.
-    #[error("the platform: {0}")]
+    #[error("platform: {0}")]
     Platform(#[from] PlatformError),
     /// A process could not be started.
     #[error("{0}")]
     Start(#[from] StartError),
-    /// A process of the pool could not run.
+    /// A process of the pool failed.
     #[error("{0}")]
     Gateway(#[from] GatewayError),
     /// A stand-in could not be started.
@@ -72,29 +72,29 @@
     /// A process did not answer.
     #[error("{address}: {source}")]
     Peer {
-        /// Its address.
+        /// Address of the process.
         address: String,
-        /// What went wrong.
+        /// Cause of the failure.
         source: WireError,
     },
     /// An entry did not answer.
-    #[error("the entry: {0}")]
+    #[error("entry: {0}")]
     Http(#[from] attohttpc::Error),
-    /// Signals cannot be watched.
-    #[error("cannot watch signals: {0}")]
+    /// Signal handlers could not be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
-    /// Something that `dev` waited for did not happen.
-    #[error("{0} did not happen in time")]
-    Patience(&'static str),
-    /// A picture could not be drawn.
+    /// A process that `dev` waited for was not ready in time.
+    #[error("timed out waiting for {0}")]
+    Timeout(&'static str),
+    /// A report could not be drawn.
     #[error("{0}")]
     Report(#[from] citronrill_insight::ReportError),
-    /// An experiment failed.
+    /// A simulation failed.
     #[error("{0}")]
     Lab(#[from] citronrill_lab::LabError),
-    /// A text that `dev` cannot serve.
-    #[error("the text has no {0}")]
-    Nothing(&'static str),
+    /// No settings file is given, or the configuration lacks an item that `dev` needs.
+    #[error("{0}")]
+    Missing(&'static str),
 }
 
 impl CommandError {
@@ -102,10 +102,10 @@
         match self {
             CommandError::Config(_)
             | CommandError::File { .. }
-            | CommandError::Nothing(_)
+            | CommandError::Missing(_)
             | CommandError::Apply(ApplyError::Text(_) | ApplyError::NoBase { .. }) => Exit::Usage,
-            CommandError::Apply(ApplyError::Lost { .. }) => Exit::Lost,
-            _ => Exit::Failed,
+            CommandError::Apply(ApplyError::Lost { .. }) => Exit::Conflict,
+            _ => Exit::Failure,
         }
     }
 }
--- a/src/files.rs
+++ b/src/files.rs
@@ -1,4 +1,4 @@
-//! Reading files and settings.
+//! Reads configurations, settings and logs, and connects to the platform.
 
 use std::{fs, path::Path, sync::Arc};
 
@@ -8,7 +8,7 @@
 
 use crate::exit::CommandError;
 
-/// The platform behind its HTTP clients.
+/// HTTP clients of the platform.
 pub(crate) struct Platform {
     pub(crate) table: Arc<HttpTable>,
     pub(crate) objects: Arc<HttpObjects>,
@@ -25,21 +25,21 @@
     }
 }
 
-pub(crate) fn read(file: &str) -> Result<String, CommandError> {
+pub(crate) fn read_file(file: &str) -> Result<String, CommandError> {
     fs::read_to_string(file).map_err(|source| CommandError::File { file: file.to_owned(), source })
 }
 
-/// The logs of several processes, each named by its file.
-pub(crate) fn logs(files: &[String]) -> Result<Log, CommandError> {
+/// Reads the logs of several processes. Each process is named after its file.
+pub(crate) fn read_logs(files: &[String]) -> Result<Log, CommandError> {
     let mut log = Log::default();
     for file in files {
         let name =
-            Path::new(file).file_stem().map_or(file.as_str().into(), |it| it.to_string_lossy());
-        log.add(&name, &read(file)?);
+            Path::new(file).file_stem().map_or(file.as_str().into(), |stem| stem.to_string_lossy());
+        log.add(&name, &read_file(file)?);
     }
     Ok(log)
 }
 
-pub(crate) fn client(file: &str) -> Result<ClientSettings, CommandError> {
-    Ok(ClientSettings::parse(file, &read(file)?)?)
+pub(crate) fn read_client_settings(file: &str) -> Result<ClientSettings, CommandError> {
+    Ok(ClientSettings::parse(file, &read_file(file)?)?)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `citronrill` binary: every process of the system, and the operators' client.
+//! The `citronrill` binary: all processes of the system, and the operators' client.
 
 mod commands;
 mod exit;
@@ -17,7 +17,7 @@
 /// Serves many rarely used models from one shared pool of accelerators.
 #[derive(FromArgs)]
 struct Arguments {
-    /// the lowest level that is logged: error, warn, info, debug, trace or off
+    /// the lowest level to log: error, warn, info, debug, trace or off
     #[argh(option)]
     log: Option<String>,
 
@@ -26,23 +26,27 @@
 }
 
 fn main() -> ExitCode {
-    let words = std::env::args().collect::<Vec<_>>();
-    let words = words.iter().map(String::as_str).collect::<Vec<_>>();
-    let (program, rest) = words.split_first().map_or(("citronrill", &[][..]), |(p, r)| (*p, r));
+    let args = std::env::args().collect::<Vec<_>>();
+    let args = args.iter().map(String::as_str).collect::<Vec<_>>();
+    let (program, rest) =
+        args.split_first().map_or(("citronrill", &[][..]), |(program, rest)| (*program, rest));
     let arguments = match Arguments::from_args(&[program], rest) {
         Ok(arguments) => arguments,
-        Err(early) if early.status.is_ok() => {
-            println!("{}", early.output);
+        Err(exit) if exit.status.is_ok() => {
+            println!("{}", exit.output);
             return ExitCode::SUCCESS;
         }
-        Err(early) => {
-            eprintln!("{}", early.output);
+        Err(exit) => {
+            eprintln!("{}", exit.output);
             return Exit::Usage.into();
         }
     };
-    let out: Box<dyn Write + Send> =
-        if arguments.command.logs_out() { Box::new(io::stdout()) } else { Box::new(io::stderr()) };
-    let logs = start_log(arguments.log.as_deref(), arguments.command.default_log(), out);
+    let out: Box<dyn Write + Send> = if arguments.command.logs_to_stdout() {
+        Box::new(io::stdout())
+    } else {
+        Box::new(io::stderr())
+    };
+    let logs = start_logging(arguments.log.as_deref(), arguments.command.default_log(), out);
     let result = arguments.command.run(logs.stats.clone());
     logs.drain();
     match result {
@@ -54,8 +58,9 @@
     }
 }
 
-/// One line of key=value pairs an event; `--log` goes before the environment's `RUST_LOG`.
-fn start_log(level: Option<&str>, default: &str, out: Box<dyn Write + Send>) -> LogHandle {
+/// Starts logging, one line of key=value pairs per event. `--log` takes precedence over the
+/// environment variable `RUST_LOG`.
+fn start_logging(level: Option<&str>, default: &str, out: Box<dyn Write + Send>) -> LogHandle {
     let environment = env_logger::Env::default().default_filter_or(default);
     let mut builder = env_logger::Builder::from_env(environment);
     if let Some(level) = level {
@@ -72,8 +77,8 @@
     handle
 }
 
-/// Milliseconds since the epoch, to put the lines of several processes in order; decides nothing.
+/// Returns milliseconds since the epoch. They only serve to sort the lines of several processes.
 fn unix_ms() -> u128 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    now.map_or(0, |since| since.as_millis())
+    now.map_or(0, |elapsed| elapsed.as_millis())
 }
