--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! The product's tests by topic.
+//! Integration tests over real sockets and through the command line, by topic.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
--- a/tests/all/path.rs
+++ b/tests/all/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over real sockets.
+//! The request path from caller to engine and back.
 
 use std::{
     io::{Read, Write},
@@ -8,19 +8,17 @@
 
 use serde_json::{Value, json};
 
-use crate::support::{Deployment, PATIENCE, streamed};
+use crate::support::{Deployment, WAIT_TIMEOUT, parse_stream};
 
-/// A caller must get the answer to its own question, whichever entry and side it goes through.
-///
-/// Questions for cold models come in at two entries at once, streamed and not, each with a word of
-/// its own. If frames of two calls were mixed up on a shared connection, a caller would read
-/// another one's word.
+/// Guards against frames of two calls being mixed up on a shared connection. Questions to cold models,
+/// streamed and not, arrive at two entries concurrently; each contains a unique word, which its answer
+/// must repeat.
 #[test]
-fn answers_are_never_crossed() {
-    let it = Deployment::start(2, 3);
+fn each_caller_gets_its_own_answer() {
+    let deployment = Deployment::start(2, 3);
     thread::scope(|scope| {
         for number in 0..40 {
-            let it = &it;
+            let deployment = &deployment;
             scope.spawn(move || {
                 let word = format!("nonce-{number}-{}", number * 7919);
                 let (key, model) = match number % 4 {
@@ -29,10 +27,10 @@
                     _ => ("north-key", "alpha"),
                 };
                 let stream = number % 3 != 0;
-                let (status, body) = it.chat(number % 2, key, model, &word, stream);
+                let (status, body) = deployment.chat(number % 2, key, model, &word, stream);
                 assert_eq!(status, 200, "{body}");
                 if stream {
-                    assert_eq!(streamed(&body), (format!("You asked: {word}"), true));
+                    assert_eq!(parse_stream(&body), (format!("You asked: {word}"), true));
                 } else {
                     let answer: Value = serde_json::from_str(&body).unwrap();
                     let content = &answer["choices"][0]["message"]["content"];
@@ -41,16 +39,16 @@
             });
         }
     });
-    let loaded = it.engines.iter().map(|engine| engine.loads()).sum::<u64>();
-    assert!(loaded <= 4, "one load for each model, and one more copy of alpha at most: {loaded}");
-    assert!(it.engines.iter().all(|engine| engine.most_memory() <= 20_000));
+    let loaded = deployment.engines.iter().map(|engine| engine.loads()).sum::<u64>();
+    assert!(loaded <= 4, "more than one load per model and a second replica of alpha: {loaded}");
+    assert!(deployment.engines.iter().all(|engine| engine.most_memory() <= 20_000));
 }
 
-/// A caller that makes a mistake must be told which, and nothing may be loaded for it.
+/// An invalid request must be refused with its specific error and must not load a model.
 #[test]
 fn bad_requests_are_refused_and_load_nothing() {
-    let it = Deployment::start(1, 1);
-    let url = it.url(0, "/v1/chat/completions");
+    let deployment = Deployment::start(1, 1);
+    let url = deployment.url(0, "/v1/chat/completions");
     let send = |key: &str, body: &str| {
         let response = attohttpc::post(&url).bearer_auth(key).text(body).send().unwrap();
         (response.status().as_u16(), response.json_utf8::<Value>().unwrap())
@@ -69,52 +67,55 @@
     let large =
         attohttpc::post(&url).bearer_auth("north-key").header("x-large", "y".repeat(20_000));
     assert_eq!(large.text("{}").send().unwrap().status().as_u16(), 431);
-    assert_eq!(attohttpc::get(it.url(0, "/elsewhere")).send().unwrap().status().as_u16(), 404);
-    assert_eq!(it.engines[0].loads(), 0);
-    assert!(attohttpc::get(it.url(0, "/healthz")).send().unwrap().is_success());
+    assert_eq!(
+        attohttpc::get(deployment.url(0, "/elsewhere")).send().unwrap().status().as_u16(),
+        404
+    );
+    assert_eq!(deployment.engines[0].loads(), 0);
+    assert!(attohttpc::get(deployment.url(0, "/healthz")).send().unwrap().is_success());
 }
 
-/// A caller that goes away in the middle of its request must not hold a thread for ever.
-///
-/// A body over 1 KiB is read by the entry, which answers 408. A shorter one is read by the server
-/// library before the entry sees the request, and the library closes the connection.
+/// Guards against a thread that is blocked forever by a caller that disconnects in the middle of its
+/// request. A body over 1 KiB is read by the entry, which answers 408. A shorter one is read by the
+/// server library before the entry sees the request, and the library closes the connection.
 #[test]
-fn half_a_request_leaves_the_process_up() {
-    let it = Deployment::start(1, 1);
+fn a_truncated_request_does_not_block_the_entry() {
+    let deployment = Deployment::start(1, 1);
     for (length, expected) in [(5_000, "HTTP/1.1 408"), (100, "")] {
         let head = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\
              Authorization: Bearer north-key\r\nContent-Length: {length}\r\n\r\n{{\"model\""
         );
-        let mut stream = TcpStream::connect(it.entries[0].http_address()).unwrap();
+        let mut stream = TcpStream::connect(deployment.entries[0].http_address()).unwrap();
         stream.write_all(head.as_bytes()).unwrap();
         stream.shutdown(Shutdown::Write).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut answer = String::new();
         let _ = stream.read_to_string(&mut answer);
         assert!(answer.starts_with(expected), "{length}: {answer}");
     }
-    assert_eq!(it.engines[0].loads(), 0);
-    assert!(attohttpc::get(it.url(0, "/healthz")).send().unwrap().is_success());
+    assert_eq!(deployment.engines[0].loads(), 0);
+    assert!(attohttpc::get(deployment.url(0, "/healthz")).send().unwrap().is_success());
 }
 
-/// Callers list their models; those of others are not among them.
+/// A caller's model list contains only the models of its own organisation.
 #[test]
 fn models_are_listed_by_organisation() {
-    let it = Deployment::start(1, 1);
-    let response = attohttpc::get(it.url(0, "/v1/models")).bearer_auth("north-key").send().unwrap();
+    let deployment = Deployment::start(1, 1);
+    let response =
+        attohttpc::get(deployment.url(0, "/v1/models")).bearer_auth("north-key").send().unwrap();
     let list: Value = response.json_utf8().unwrap();
-    let names = list["data"].as_array().unwrap().iter().map(|it| it["id"].as_str().unwrap());
+    let names = list["data"].as_array().unwrap().iter().map(|model| model["id"].as_str().unwrap());
     assert_eq!(names.collect::<Vec<_>>(), ["alpha", "alpha-de", "drafter"]);
 }
 
-/// Plain services are passed through with method, headers and bodies of every size.
+/// Requests to plain services keep their method, path, headers and body, at various body sizes.
 #[test]
 fn plain_calls_pass_through_at_every_size() {
-    let it = Deployment::start(1, 1);
+    let deployment = Deployment::start(1, 1);
     for size in [0, 10, 70_000, 3_000_000] {
         let body = (0..size).map(|index| (index % 251) as u8).collect::<Vec<_>>();
-        let url = it.url(0, "/services/ledger/tickets?yard=2");
+        let url = deployment.url(0, "/services/ledger/tickets?yard=2");
         let request = attohttpc::put(url).bearer_auth("north-key").bytes(body.clone());
         let response = request.send().unwrap();
         assert_eq!(response.status().as_u16(), 200, "{size}");
@@ -123,7 +124,7 @@
         assert!(answer.ends_with(&body), "{size}");
         assert!(answer.starts_with(b"entry "));
     }
-    let ledger = it.plain.ledger();
+    let ledger = deployment.plain.ledger();
     assert_eq!(ledger.len(), 4);
     assert!(ledger.iter().all(|call| call.verb == "PUT" && call.path == "/tickets?yard=2"));
 }
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! A small deployment on loopback: platform stand-in, engines, sides and entries.
+//! Small deployment on loopback: platform stand-in, engines, sides and entries.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -23,15 +23,15 @@
 use serde_json::{Value, json};
 
 pub(crate) const SECRET: &str = "test secret";
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An address with a free port.
-pub(crate) fn free() -> SocketAddr {
+/// Returns a loopback address with port 0, so that the system assigns a free port.
+pub(crate) fn free_address() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// A text with two organisations, one model each, an adapter and a plain service.
-pub(crate) fn text() -> String {
+/// Returns a configuration with two organisations, their models, an adapter and a plain service.
+pub(crate) fn config() -> String {
     let hash = |key| hash_api_key(key).to_hex();
     format!(
         "[pool]\nloads_second = 7\nloads_once = 4\n\
@@ -51,7 +51,7 @@
     )
 }
 
-/// What runs; dropped in this order.
+/// Running processes and stand-ins, dropped in this order.
 pub(crate) struct Deployment {
     pub(crate) entries: Vec<EntryProcess>,
     pub(crate) sides: Vec<SideProcess>,
@@ -61,14 +61,14 @@
 }
 
 impl Deployment {
-    /// Starts `entries` entries before `engines` engines and a plain service.
+    /// Starts `entries` entries, `engines` engines with their sides, and a plain service.
     pub(crate) fn start(entries: usize, engines: usize) -> Deployment {
         let limits = WeightLimits { once: 4, second: 7 };
-        let platform = PlatformStandin::start(free(), limits).unwrap();
+        let platform = PlatformStandin::start(free_address(), limits).unwrap();
         let clients = Clients::new(platform.address());
         let (table, objects) = (clients.table.as_ref(), clients.objects.as_ref());
-        apply_text(table, objects, "test", &text(), Some(0)).unwrap();
-        let plain = PlainStandin::start(free(), 0).unwrap();
+        apply_text(table, objects, "test", &config(), Some(0)).unwrap();
+        let plain = PlainStandin::start(free_address(), 0).unwrap();
         let mut deployment =
             Deployment { entries: vec![], sides: vec![], engines: vec![], plain, platform };
         for index in 0..engines {
@@ -79,7 +79,7 @@
                 token_ms: 2,
                 weights: Some(deployment.platform.address()),
             };
-            deployment.engines.push(EngineStandin::start(free(), options).unwrap());
+            deployment.engines.push(EngineStandin::start(free_address(), options).unwrap());
             deployment.add_side(index);
         }
         let side = deployment.plain_side();
@@ -87,16 +87,17 @@
         for index in 0..entries {
             deployment.add_entry(index);
         }
-        deployment.wait("entries that know every endpoint", |it| it.settled());
+        deployment
+            .wait_until("entries to know every endpoint", |deployment| deployment.is_settled());
         deployment
     }
 
-    fn common(&self, name: &str, index: usize) -> Settings {
+    fn common_settings(&self, name: &str, index: usize) -> Settings {
         let address = self.platform.address();
         Settings {
             instance: name.to_owned(),
             zone: ["zone-a", "zone-b", "zone-c"][index % 3].to_owned(),
-            listen: free(),
+            listen: free_address(),
             secret: SECRET.to_owned(),
             stop_s: 10,
             platform: PlatformSettings { table: address, objects: address, instances: address },
@@ -106,7 +107,7 @@
     pub(crate) fn add_side(&mut self, index: usize) {
         let name = format!("worker-{index}");
         let settings = SideSettings {
-            common: self.common(&name, index),
+            common: self.common_settings(&name, index),
             endpoint: name.clone(),
             target: self.engines[index].address(),
             kind: SideKind::Engine,
@@ -120,7 +121,7 @@
 
     fn plain_side(&self) -> SideProcess {
         let settings = SideSettings {
-            common: self.common("plain-1", 0),
+            common: self.common_settings("plain-1", 0),
             endpoint: "plain-1".to_owned(),
             target: self.plain.address(),
             kind: SideKind::Plain,
@@ -143,8 +144,8 @@
     pub(crate) fn add_entry(&mut self, index: usize) {
         let name = format!("entry-{index}");
         let settings = EntrySettings {
-            common: self.common(&name, index),
-            http: free(),
+            common: self.common_settings(&name, index),
+            http: free_address(),
             body_limit: 1 << 20,
             request_limit: 10_000,
         };
@@ -166,7 +167,7 @@
         self.platform.list(Instance { name, zone, address, role, leaving: false });
     }
 
-    fn settled(&self) -> bool {
+    fn is_settled(&self) -> bool {
         self.entries.iter().all(|entry| {
             let state = dump_json(entry.listen_address(), SECRET).unwrap_or_default();
             let endpoints = state["endpoints"].as_object().map_or(0, |all| all.len());
@@ -177,27 +178,27 @@
         })
     }
 
-    /// Waits for something that must come about; panics if it does not.
-    pub(crate) fn wait(&self, what: &str, done: impl Fn(&Deployment) -> bool) {
-        let begun = Instant::now();
+    /// Waits until `done` returns true; panics after [`WAIT_TIMEOUT`].
+    pub(crate) fn wait_until(&self, what: &str, done: impl Fn(&Deployment) -> bool) {
+        let started = Instant::now();
         while !done(self) {
-            assert!(begun.elapsed() < PATIENCE, "waited in vain for {what}");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
             std::thread::park_timeout(Duration::from_millis(20));
         }
     }
 
-    /// An entry's state.
+    /// Returns the state that an entry reports.
     pub(crate) fn state(&self, entry: usize) -> Value {
         dump_json(self.entries[entry].listen_address(), SECRET).unwrap_or_default()
     }
 
-    /// The version of the text in force at an entry.
+    /// Returns the version of the configuration that an entry uses.
     pub(crate) fn version(&self, entry: usize) -> Option<u64> {
         self.state(entry)["version"].as_u64()
     }
 
-    /// Claims whose answer is kept.
-    pub(crate) fn claims_answered(&self) -> usize {
+    /// Returns the number of claims with a stored answer.
+    pub(crate) fn answered_claims(&self) -> usize {
         let rows = self.platform.rows();
         let claims = rows.iter().filter(|row| row.key.starts_with("claim/"));
         let claims = claims.filter_map(|row| decode::<ClaimRow>(&row.body));
@@ -208,24 +209,24 @@
         format!("http://{}{path}", self.entries[entry].http_address())
     }
 
-    /// Asks a model, and gives status and body.
+    /// Sends a chat request to a model; returns status and body.
     pub(crate) fn chat(
         &self,
         entry: usize,
         key: &str,
         model: &str,
-        text: &str,
+        content: &str,
         stream: bool,
     ) -> (u16, String) {
         let question = json!({ "model": model, "stream": stream,
-            "messages": [{ "role": "user", "content": text }] });
+            "messages": [{ "role": "user", "content": content }] });
         let request = attohttpc::post(self.url(entry, "/v1/chat/completions")).bearer_auth(key);
         let response = request.json(&question).unwrap().send().unwrap();
         (response.status().as_u16(), response.text_utf8().unwrap_or_default())
     }
 }
 
-/// The platform's clients.
+/// Clients of the platform's services.
 pub(crate) struct Clients {
     pub(crate) table: Arc<HttpTable>,
     pub(crate) objects: Arc<HttpObjects>,
@@ -242,8 +243,8 @@
     }
 }
 
-/// The text of a streamed answer, and whether it ended as it must.
-pub(crate) fn streamed(body: &str) -> (String, bool) {
+/// Returns the text of a streamed answer, and whether it ended with `[DONE]`.
+pub(crate) fn parse_stream(body: &str) -> (String, bool) {
     let mut text = String::new();
     for line in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         if line == "[DONE]" {
--- a/tests/pool/answers.rs
+++ b/tests/pool/answers.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to the caller.
+//! Responses forwarded to the caller.
 
 use std::io::Read;
 
@@ -6,90 +6,91 @@
 
 use citronrill_platform_standin::Mode;
 
-use crate::support::{Ask, Deployment};
+use crate::support::{Deployment, Request};
 
-/// An endpoint breaks off midway. The caller must see that the answer is not whole: a dispatcher
-/// would else plan by half a list.
+/// Guards against a truncated response that looks complete: an endpoint closes the connection in the
+/// middle of a stream, and a caller that did not notice would act on partial data.
 #[test]
-fn a_broken_answer_does_not_look_whole() {
+fn an_aborted_stream_is_visibly_incomplete() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     pool.engines[0].set_mode(Mode::Break);
-    let answer = pool.ask(&Ask::stream("/draft/x", "id-1", "m0"));
-    assert_eq!((answer.status, answer.whole), (200, false), "{answer:?}");
-    pool.until("the break is in the log", || {
+    let response = pool.request(&Request::stream("/draft/x", "id-1", "m0"));
+    assert_eq!((response.status, response.complete), (200, false), "{response:?}");
+    pool.wait_until("the aborted stream is logged", || {
         pool.entry.logged(&["event=finished", "id=id-1", "complete=false"])
     });
 }
 
-/// A success without the endpoint's signature, or one that names another request, is spoilt. It
-/// does not reach the caller, and a request that may run once is not run again.
+/// Guards against forwarding a success that lacks the endpoint's signature or names another request.
+/// The caller gets 502, and a request that may run only once is not retried.
 #[rstest]
 #[case(Mode::Unsigned)]
 #[case(Mode::Foreign)]
-fn a_spoilt_success_is_not_passed_on(#[case] mode: Mode) {
+fn a_success_without_a_valid_signature_is_not_forwarded(#[case] mode: Mode) {
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"])]);
     pool.engines.iter().for_each(|engine| engine.set_mode(mode));
-    let answer = pool.ask(&Ask::stream("/draft/x", "id-1", "m0"));
-    assert_eq!(answer.status, 502, "{answer:?}");
-    assert!(answer.body.contains("\"ran\":\"unknown\""), "{answer:?}");
+    let response = pool.request(&Request::stream("/draft/x", "id-1", "m0"));
+    assert_eq!(response.status, 502, "{response:?}");
+    assert!(response.body.contains("\"ran\":\"unknown\""), "{response:?}");
     let ran = pool.engines.iter().map(|engine| engine.ran().len()).sum::<usize>();
     assert_eq!(ran, 1);
 }
 
-/// Events reach the caller as they are made, and not together at the end.
+/// Guards against buffering: events reach the caller as they are generated, not when the stream ends.
 #[test]
-fn events_come_as_they_are_made() {
+fn events_are_forwarded_immediately() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    let mut stream = pool.open(&Ask::stream("/draft/x", "id-1", "m0"));
+    let mut stream = pool.send(&Request::stream("/draft/x", "id-1", "m0"));
     let mut first = [0; 400];
     let read = stream.read(&mut first).unwrap();
     assert!(read > 0);
-    assert_eq!(pool.engines[0].running(), 1, "the stream goes on");
+    assert_eq!(pool.engines[0].running(), 1, "the stream has already ended");
 }
 
-/// A caller leaves in the middle of its stream. Its run ends, or the engine works for nobody.
+/// Guards against wasted engine work: a caller disconnects in the middle of its stream, and the run is
+/// cancelled.
 #[test]
-fn a_caller_that_leaves_ends_its_run() {
+fn a_disconnected_caller_cancels_its_run() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    let mut stream = pool.open(&Ask::stream("/draft/x", "id-1", "m0"));
+    let mut stream = pool.send(&Request::stream("/draft/x", "id-1", "m0"));
     let mut first = [0; 100];
     assert!(stream.read(&mut first).unwrap() > 0);
     drop(stream);
-    pool.until("the run has ended", || pool.engines[0].running() == 0);
-    pool.until("the leaving is in the log", || pool.entry.logged(&["event=left", "id=id-1"]));
+    pool.wait_until("the run is cancelled", || pool.engines[0].running() == 0);
+    pool.wait_until("the disconnect is logged", || pool.entry.logged(&["event=left", "id=id-1"]));
 }
 
-/// The same while the endpoint has not begun to answer.
+/// The same, but the caller disconnects before the endpoint has sent the response head.
 #[test]
-fn a_caller_that_leaves_early_ends_its_run() {
+fn a_disconnect_before_the_response_cancels_the_run() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     pool.engines[0].set_mode(Mode::Hang);
-    let stream = pool.open(&Ask::stream("/draft/x", "id-1", "m0"));
-    pool.until("the run has begun", || pool.engines[0].running() == 1);
+    let stream = pool.send(&Request::stream("/draft/x", "id-1", "m0"));
+    pool.wait_until("the run has started", || pool.engines[0].running() == 1);
     drop(stream);
-    pool.until("the run has ended", || pool.engines[0].running() == 0);
+    pool.wait_until("the run is cancelled", || pool.engines[0].running() == 0);
 }
 
-/// An endpoint hangs. A stream that may be resumed is answered by the other one, and the first run
-/// is cancelled.
+/// An endpoint hangs. A resumable stream fails over to the other endpoint, and the first run is
+/// cancelled.
 #[test]
 fn a_hung_endpoint_loses_what_may_run_again() {
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"])]);
     pool.engines[0].set_mode(Mode::Hang);
     for index in 0..3 {
         let id = format!("id-{index}");
-        let answer = pool.ask(&Ask::stream("/chat/x", &id, "m0"));
-        assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+        let response = pool.request(&Request::stream("/chat/x", &id, "m0"));
+        assert_eq!((response.status, response.complete), (200, true), "{response:?}");
     }
-    pool.until("nothing runs any more", || pool.engines[0].running() == 0);
+    pool.wait_until("the engine has no runs left", || pool.engines[0].running() == 0);
 }
 
-/// An endpoint hangs with a request that may run once. It is ended at its route's timeout with a
-/// status that promises nothing.
+/// An endpoint hangs with a request that may run only once. The request ends at its route's timeout
+/// with 504, which does not say whether it was executed.
 #[test]
 fn a_hung_call_ends_at_its_timeout() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     pool.engines[0].set_mode(Mode::Hang);
-    let answer = pool.ask(&Ask::stream("/draft/x", "id-1", "m0"));
-    assert_eq!(answer.status, 504, "{answer:?}");
+    let response = pool.request(&Request::stream("/draft/x", "id-1", "m0"));
+    assert_eq!(response.status, 504, "{response:?}");
 }
--- a/tests/pool/life.rs
+++ b/tests/pool/life.rs
@@ -1,4 +1,4 @@
-//! Texts, lists, outages, stops and settings.
+//! Configuration changes, membership, store outages, planned stops and settings.
 
 use std::{
     io::{Read, Write},
@@ -8,238 +8,258 @@
 
 use citronrill_platform_standin::{Harm, Outage};
 
-use crate::support::{Answer, Ask, Deployment, PATIENCE, Process, text, until};
+use crate::support::{Deployment, Process, Request, Response, WAIT_TIMEOUT, config, wait_until};
 
 const SIGHUP: i32 = 1;
 const SIGTERM: i32 = 15;
 const SIGCONT: i32 = 18;
 const SIGSTOP: i32 = 19;
 
-/// An operator adds a route. It is served as soon as the entry has read it.
+/// An operator adds a route. It is served once the entry has read the new configuration.
 #[test]
-fn a_new_text_is_in_force() {
+fn a_new_config_takes_effect() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    assert_eq!(pool.ask(&Ask::call("/added/x", "id-1")).status, 404);
-    pool.store.put("op", "config", Some(text(4, &["/added/"])));
-    pool.until("the text is known", || pool.entry.logged(&["event=text ", "version=4"]));
-    assert_eq!(pool.ask(&Ask::call("/added/x", "id-2")).status, 200);
+    assert_eq!(pool.request(&Request::call("/added/x", "id-1")).status, 404);
+    pool.store.put("op", "config", Some(config(4, &["/added/"])));
+    pool.wait_until("the configuration is read", || {
+        pool.entry.logged(&["event=text ", "version=4"])
+    });
+    assert_eq!(pool.request(&Request::call("/added/x", "id-2")).status, 200);
 }
 
-/// A text of many routes comes, and every entry is connected to every side. A side gets it from one of
-/// them; sent by each to each, copies were a tenth of what a day cost. Two may cross, four may not.
+/// Guards against every entry sending a new configuration to every side: such copies were a tenth of a
+/// day's costs. With four connected entries a side may receive two concurrent copies, but not four.
 #[test]
-fn a_side_gets_a_text_once() {
+fn a_side_receives_at_most_two_config_copies() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    let more = (0..3).map(|_| pool.one_more_entry()).collect::<Vec<_>>();
+    let entries = (0..3).map(|_| pool.add_entry()).collect::<Vec<_>>();
     let side = &pool.sides[0];
-    pool.until("all are connected", || side.logged(&["event=entry_connected", "entries=4"]));
+    pool.wait_until("all entries are connected", || {
+        side.logged(&["event=entry_connected", "entries=4"])
+    });
     let before = side.metric("citronrill_texts_total");
-    pool.store.put("op", "config", Some(text(4, &["/added/"])));
-    pool.until("the side has it", || side.logged(&["event=text ", "version=4"]));
+    pool.store.put("op", "config", Some(config(4, &["/added/"])));
+    pool.wait_until("the side has the configuration", || {
+        side.logged(&["event=text ", "version=4"])
+    });
     let known = |entry: &Process| entry.logged(&["event=text ", "version=4"]);
-    pool.until("the entries have it", || more.iter().all(known));
-    // Longer than the time over which entries spread their copies.
+    pool.wait_until("the entries have the configuration", || entries.iter().all(known));
+    // Longer than the interval over which entries spread their transfers.
     std::thread::sleep(Duration::from_millis(2_000));
     let copies = side.metric("citronrill_texts_total") - before;
     assert!((1..=2).contains(&copies), "{copies} copies");
 }
 
-/// The store goes away. What is known goes on being served, also a model that has to be fetched;
-/// what was written meanwhile is in force soon after its return.
+/// The store is unavailable. Known routes are still served, even by a model that must be loaded first;
+/// a configuration written meanwhile takes effect once the store is back.
 #[test]
-fn an_outage_of_the_store_stops_nothing() {
+fn requests_are_served_during_a_store_outage() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     pool.store.set_outage(Some(Outage::Refuse));
-    pool.until("the loss is in the log", || pool.entry.logged(&["event=store_lost"]));
-    assert_eq!(pool.ask(&Ask::call("/book/x", "id-1")).status, 200);
-    assert_eq!(pool.ask(&Ask::stream("/draft/x", "id-2", "m3")).status, 200);
-    pool.store.put("op", "config", Some(text(5, &["/added/"])));
+    pool.wait_until("the loss of the store is logged", || pool.entry.logged(&["event=store_lost"]));
+    assert_eq!(pool.request(&Request::call("/book/x", "id-1")).status, 200);
+    assert_eq!(pool.request(&Request::stream("/draft/x", "id-2", "m3")).status, 200);
+    pool.store.put("op", "config", Some(config(5, &["/added/"])));
     pool.store.set_outage(None);
-    pool.until("the text is known", || pool.entry.logged(&["event=text ", "version=5"]));
-    pool.until("its return is in the log", || pool.entry.logged(&["event=store_regained"]));
+    pool.wait_until("the configuration is read", || {
+        pool.entry.logged(&["event=text ", "version=5"])
+    });
+    pool.wait_until("the return of the store is logged", || {
+        pool.entry.logged(&["event=store_regained"])
+    });
 }
 
-/// Guards against a caller who is told in an outage that an added route does not exist, and against a text
-/// that stays unread as the store never answers the calls of the outage.
+/// Guards against a 404 for a newly added route during an outage, and against a configuration that stays
+/// unread after it because the store never answers calls accepted during the outage.
 #[test]
-fn an_outage_that_swallows_calls_hides_no_text() {
+fn a_config_is_read_after_a_silent_store_outage() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    assert_eq!(pool.ask(&Ask::call("/added/x", "id-1")).status, 404);
+    assert_eq!(pool.request(&Request::call("/added/x", "id-1")).status, 404);
     pool.store.set_outage(Some(Outage::Silent));
-    pool.until("the loss is known", || pool.entry.logged(&["event=store_lost", "table=Text"]));
-    pool.store.put("op", "config", Some(text(5, &["/added/"])));
-    let answer = pool.ask(&Ask::call("/added/x", "id-2"));
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
-    assert_eq!(pool.ask(&Ask::call("/book/x", "id-3")).status, 200);
+    pool.wait_until("the loss of the store is logged", || {
+        pool.entry.logged(&["event=store_lost", "table=Text"])
+    });
+    pool.store.put("op", "config", Some(config(5, &["/added/"])));
+    let response = pool.request(&Request::call("/added/x", "id-2"));
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
+    assert_eq!(pool.request(&Request::call("/book/x", "id-3")).status, 200);
     pool.store.set_outage(None);
-    pool.until("the text is known", || pool.entry.logged(&["event=text ", "version=5"]));
-    assert_eq!(pool.ask(&Ask::call("/added/x", "id-4")).status, 200);
+    pool.wait_until("the configuration is read", || {
+        pool.entry.logged(&["event=text ", "version=5"])
+    });
+    assert_eq!(pool.request(&Request::call("/added/x", "id-4")).status, 200);
 }
 
-/// Guards against an entry that knows by one table that the store answers again, and waits for a call of the
-/// outage for another one all the same.
+/// Guards against an entry that keeps waiting for a call from the outage to one table although the store
+/// already answers calls to another table.
 #[test]
-fn a_call_of_the_outage_is_given_up_when_the_store_answers_another() {
+fn a_hung_store_call_is_abandoned_once_another_is_answered() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    let (cut, path) = pool.entry_behind_proxy();
-    let overtaken = || cut.logged(&["event=store_overtaken", "table=Text"]);
+    let (entry, proxy) = pool.entry_behind_proxy();
+    let abandoned = || entry.logged(&["event=store_overtaken", "table=Text"]);
     for version in 2..40 {
-        pool.store.put("op", "config", Some(text(version, &["/added/"])));
-        let written = format!("version={version} ");
-        pool.until("the text is known", || cut.logged(&["event=text ", &written]));
-        let count = |event: &str| cut.count(&[event, "table=Members"]);
+        pool.store.put("op", "config", Some(config(version, &["/added/"])));
+        let new_version = format!("version={version} ");
+        pool.wait_until("the configuration is read", || {
+            entry.logged(&["event=text ", &new_version])
+        });
+        let count = |event: &str| entry.count(&[event, "table=Members"]);
         let (lost, regained) = (count("event=store_lost"), count("event=store_regained"));
-        path.set(Harm::OneWay);
-        pool.until("the list is lost", || count("event=store_lost") > lost);
-        path.set(Harm::None);
-        pool.until("the list is back", || count("event=store_regained") > regained);
-        if overtaken() {
+        proxy.set(Harm::OneWay);
+        pool.wait_until("the member list is lost", || count("event=store_lost") > lost);
+        proxy.set(Harm::None);
+        pool.wait_until("the member list is back", || count("event=store_regained") > regained);
+        if abandoned() {
             return;
         }
     }
-    panic!("the call for the text is waited for");
+    panic!("the hung call for the configuration was never abandoned");
 }
 
-/// The store forgets its history while a text is written. The entry reads the whole again and misses
-/// nothing.
+/// The store drops its change history while a configuration is written. The entry reads the complete
+/// table again and gets the configuration.
 #[test]
-fn a_lost_history_hides_no_text() {
+fn a_config_is_read_after_the_store_loses_its_history() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    pool.store.put("op", "config", Some(text(6, &["/added/"])));
+    pool.store.put("op", "config", Some(config(6, &["/added/"])));
     pool.store.forget();
-    pool.until("the text is known", || pool.entry.logged(&["event=text ", "version=6"]));
+    pool.wait_until("the configuration is read", || {
+        pool.entry.logged(&["event=text ", "version=6"])
+    });
 }
 
-/// An entry is killed and starts again while the store is away. It knows no text: it is not ready
-/// and says so, instead of denying routes that exist.
+/// Guards against a 404 for existing routes: an entry restarts while the store is unavailable and has no
+/// configuration. It must report that it is not ready and answer 503.
 #[test]
-fn an_entry_without_a_text_is_not_ready() {
+fn an_entry_without_a_config_is_not_ready() {
     let mut pool = Deployment::start(&[("e1", &["m0"])]);
     assert!(pool.ready());
     pool.store.set_outage(Some(Outage::Refuse));
     pool.restart_entry();
     assert!(!pool.ready());
-    let answer = pool.ask(&Ask::call("/book/x", "id-1"));
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
+    let response = pool.request(&Request::call("/book/x", "id-1"));
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
     pool.store.set_outage(None);
-    until("the entry is ready", || pool.ready());
-    assert_eq!(pool.ask(&Ask::call("/book/x", "id-2")).status, 200);
+    wait_until("the entry is ready", || pool.ready());
+    assert_eq!(pool.request(&Request::call("/book/x", "id-2")).status, 200);
 }
 
-/// An entry starts while the store is away and another one serves. It learns text and endpoints from
-/// that one and is ready; peers that are down and its own address among the named ones stop nothing.
-/// What the store has when it is back is in force there too.
+/// An entry starts while the store is unavailable and gets the configuration and endpoints from another
+/// entry; a seed that is down does not prevent that. It follows the store once that is back.
 #[test]
-fn an_entry_that_starts_in_an_outage_asks_its_peers() {
+fn an_entry_started_in_an_outage_bootstraps_from_peers() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     pool.store.set_outage(Some(Outage::Refuse));
-    pool.until("the loss is in the log", || pool.entry.logged(&["event=store_lost"]));
-    let more = pool.entry_that_asks(&format!("127.0.0.1:9,{}", pool.snapshots));
-    pool.until("it knows both", || {
-        more.logged(&["event=text_read", "source=peer", "version=1"])
-            && more.logged(&["event=members", "known=2 open=2"])
+    pool.wait_until("the loss of the store is logged", || pool.entry.logged(&["event=store_lost"]));
+    let new_entry = pool.add_entry_with_seeds(&format!("127.0.0.1:9,{}", pool.snapshot_address));
+    pool.wait_until("it has the configuration and the endpoints", || {
+        new_entry.logged(&["event=text_read", "source=peer", "version=1"])
+            && new_entry.logged(&["event=members", "known=2 open=2"])
+    });
+    pool.wait_until("it is connected to the side", || {
+        pool.sides[0].logged(&["entry_connected", "entries=2"])
     });
-    pool.until("it reaches the side", || pool.sides[0].logged(&["entry_connected", "entries=2"]));
-    pool.store.put("op", "config", Some(text(5, &["/added/"])));
+    pool.store.put("op", "config", Some(config(5, &["/added/"])));
     pool.store.set_outage(None);
-    pool.until("the text is known", || more.logged(&["event=text ", "version=5"]));
+    pool.wait_until("the configuration is read", || {
+        new_entry.logged(&["event=text ", "version=5"])
+    });
 }
 
-/// A worker says that it leaves, another is taken out of the list without a word. Neither gets
-/// anything new.
+/// One worker is listed as draining, another is removed from the list. Neither gets new requests.
 #[test]
-fn leaving_workers_are_left_alone() {
+fn draining_or_unlisted_workers_get_no_requests() {
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"]), ("e3", &["m0"])]);
     pool.engines[0].list("draining");
     pool.engines[1].unlist();
-    pool.until("the list is known", || pool.entry.logged(&["event=members", "known=3 open=2"]));
+    pool.wait_until("the member list is read", || {
+        pool.entry.logged(&["event=members", "known=3 open=2"])
+    });
     for index in 0..4 {
         let id = format!("id-{index}");
-        assert_eq!(pool.ask(&Ask::stream("/draft/x", &id, "m0")).status, 200);
+        assert_eq!(pool.request(&Request::stream("/draft/x", &id, "m0")).status, 200);
     }
     assert!(pool.engines[0].ran().is_empty() && pool.engines[1].ran().is_empty());
 }
 
-/// SIGTERM comes in the middle of a stream. The stream ends whole, the entry is not ready any more,
-/// tells kept connections to close, and ends by itself with code 0.
+/// SIGTERM arrives in the middle of a stream. The stream completes, the entry reports that it is not
+/// ready, asks keep-alive connections to close, and exits with code 0.
 #[test]
 fn a_planned_stop_cuts_nothing() {
     let mut pool = Deployment::start(&[("e1", &["m0"])]);
-    let mut stream = pool.open(&Ask::stream("/draft/x", "id-1", "m0"));
+    let mut stream = pool.send(&Request::stream("/draft/x", "id-1", "m0"));
     let mut first = [0; 1];
     assert_eq!(stream.read(&mut first).unwrap(), 1);
     pool.entry.signal(SIGTERM);
-    until("the stop is in the log", || pool.entry.logged(&["event=stopping"]));
+    wait_until("the stop is logged", || pool.entry.logged(&["event=stopping"]));
     assert!(!pool.ready());
-    let mut kept = TcpStream::connect(pool.callers).unwrap();
-    kept.set_read_timeout(Some(PATIENCE)).unwrap();
-    kept.write_all(
+    let mut keep_alive = TcpStream::connect(pool.caller_address).unwrap();
+    keep_alive.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+    keep_alive.write_all(
         b"GET /status/x HTTP/1.1\r\nHost: pool.example\r\nX-Citronrill-Attempt-Id: id-2\r\n\r\n",
     )
     .unwrap();
-    let answer = Answer::read(&mut kept);
-    assert_eq!((answer.status, answer.header("connection")), (200, Some("close")));
+    let response = Response::read(&mut keep_alive);
+    assert_eq!((response.status, response.header("connection")), (200, Some("close")));
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).unwrap();
-    assert!(rest.ends_with(b"0\r\n\r\n"), "the stream ends whole");
-    assert_eq!(pool.entry.wait(), Some(0));
+    assert!(rest.ends_with(b"0\r\n\r\n"), "the stream is incomplete");
+    assert_eq!(pool.entry.wait_exit(), Some(0));
     assert!(pool.entry.logged(&["event=stopped", "finished=true"]));
 }
 
-/// SIGHUP says that the settings have changed. The process goes on and says that it has read them.
+/// SIGHUP makes a process reload its settings and log that. It keeps running.
 #[test]
-fn a_hangup_ends_nothing() {
+fn sighup_reloads_the_settings() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     pool.entry.signal(SIGHUP);
     pool.sides[0].signal(SIGHUP);
-    pool.until("both have read them", || {
+    pool.wait_until("both have reloaded the settings", || {
         let reload = ["event=reload", "valid=true"];
         pool.entry.logged(&reload) && pool.sides[0].logged(&reload)
     });
-    assert_eq!(pool.ask(&Ask::stream("/draft/x", "id-1", "m0")).status, 200);
+    assert_eq!(pool.request(&Request::stream("/draft/x", "id-1", "m0")).status, 200);
 }
 
-/// Settings with a wrong value end the process at once with code 2.
+/// A process with an invalid setting exits at once with code 2.
 #[test]
-fn wrong_settings_are_refused() {
+fn invalid_settings_are_refused() {
     let mut process = Process::start("pool-entry", "[process]\nname = e\nzone =\n");
-    assert_eq!(process.wait(), Some(2));
+    assert_eq!(process.wait_exit(), Some(2));
 }
 
-/// A caller connects while a stopping entry still takes connections, and its request comes when none is
-/// taken any more. The connection was taken, so the request has its answer; it was closed unread
-/// before, and the caller could not tell whether it had run.
+/// Guards against accepted connections that are closed unread in a planned stop, so that the caller can't
+/// tell whether its request ran: it connects before the listener closes and sends its request after.
 #[test]
 fn a_connection_taken_in_a_planned_stop_is_answered() {
     let mut pool = Deployment::start(&[("e1", &["m0"])]);
     pool.entry.signal(SIGTERM);
-    until("the stop is in the log", || pool.entry.logged(&["event=stopping"]));
-    let mut stream = TcpStream::connect(pool.callers).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    until("nothing is taken any more", || pool.entry.logged(&["event=closed"]));
-    stream.write_all(&Ask::call("/book/x", "id-1").bytes()).unwrap();
-    assert_eq!(Answer::read(&mut stream).status, 200);
-    assert_eq!(pool.entry.wait(), Some(0));
+    wait_until("the stop is logged", || pool.entry.logged(&["event=stopping"]));
+    let mut stream = TcpStream::connect(pool.caller_address).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+    wait_until("the listener is closed", || pool.entry.logged(&["event=closed"]));
+    stream.write_all(&Request::call("/book/x", "id-1").bytes()).unwrap();
+    assert_eq!(Response::read(&mut stream).status, 200);
+    assert_eq!(pool.entry.wait_exit(), Some(0));
 }
 
-/// The process stands still for a moment, and callers connect before it stops taking connections. When
-/// it goes on, its time for that is over; whoever is in the queue has connected, and is answered
-/// instead of being reset with the queue.
+/// Guards against resetting connections in the accept queue in a planned stop. The process is paused
+/// while callers connect, and continues after the time in which it accepts new connections.
 #[test]
-fn connections_in_the_queue_are_answered_in_a_planned_stop() {
+fn queued_connections_are_answered_in_a_planned_stop() {
     let mut pool = Deployment::start(&[("e1", &["m0"])]);
     pool.entry.signal(SIGTERM);
-    until("the stop is in the log", || pool.entry.logged(&["event=stopping"]));
+    wait_until("the stop is logged", || pool.entry.logged(&["event=stopping"]));
     pool.entry.signal(SIGSTOP);
-    let ask = |index: u32| pool.open(&Ask::call("/book/x", &format!("id-{index}")));
-    let streams = (0..8).map(ask).collect::<Vec<_>>();
-    // Over the time in which new connections are taken, and within the time for open requests.
+    let send = |index: u32| pool.send(&Request::call("/book/x", &format!("id-{index}")));
+    let streams = (0..8).map(send).collect::<Vec<_>>();
+    // Beyond the time in which new connections are accepted, within the time for open requests.
     std::thread::sleep(Duration::from_millis(2_200));
     pool.entry.signal(SIGCONT);
     for mut stream in streams {
-        assert_eq!(Answer::read(&mut stream).status, 200);
+        assert_eq!(Response::read(&mut stream).status, 200);
     }
-    assert_eq!(pool.entry.wait(), Some(0));
+    assert_eq!(pool.entry.wait_exit(), Some(0));
 }
--- a/tests/pool/main.rs
+++ b/tests/pool/main.rs
@@ -1,4 +1,4 @@
-//! The pool's processes, run for real over sockets against stand-ins of the users' platform.
+//! Runs the real pool processes over sockets against stand-ins for the platform.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
--- a/tests/pool/members.rs
+++ b/tests/pool/members.rs
@@ -1,30 +1,37 @@
-//! Workers that start again under their names, and entries of the list that others have written.
+//! Workers that restart under the same name, and invalid entries in the member list.
 
-use crate::support::{Ask, Deployment};
+use crate::support::{Deployment, Request};
 
-/// A worker starts again under its name between two looks and holds nothing. A caller asks for a model
-/// that it held; the request is served once the model is back, and no order breaks a promise.
+/// A worker restarts under its name between two checks and has no models loaded. A request for a model
+/// that it held before is served once the model is reloaded, and no order violates the worker's checks.
 #[test]
-fn a_worker_that_starts_again_is_filled_again() {
+fn a_restarted_worker_reloads_its_models() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    // The first start does not say when it began.
-    pool.until("it is seen", || pool.sides[0].logged(&["event=start_untold"]));
+    // The first incarnation does not report its start time.
+    pool.wait_until("the first incarnation is logged", || {
+        pool.sides[0].logged(&["event=start_untold"])
+    });
     for born in [1_790_000_000_000u64, 1_790_000_060_000] {
         let id = format!("id-{born}");
         pool.engines[0].restart(born);
-        let told = format!("started={born}");
+        let start_time = format!("started={born}");
         let side = &pool.sides[0];
-        pool.until("the side has seen it", || side.logged(&["event=endpoint_restarted", &told]));
-        pool.until("so has the entry", || pool.entry.logged(&["event=restarted", &told]));
-        assert_eq!(pool.ask(&Ask::stream("/draft/x", &id, "m0")).status, 200);
+        pool.wait_until("the side has detected the restart", || {
+            side.logged(&["event=endpoint_restarted", &start_time])
+        });
+        pool.wait_until("the entry has detected the restart", || {
+            pool.entry.logged(&["event=restarted", &start_time])
+        });
+        assert_eq!(pool.request(&Request::stream("/draft/x", &id, "m0")).status, 200);
     }
     assert_eq!(pool.engines[0].broken(), Vec::<String>::new());
 }
 
-/// Others write into the list: no JSON, a service that nobody serves, a worker's address under another
-/// name with a field of another type. Each is in the log once, and the workers go on being used.
+/// The member list contains invalid entries: one that is not JSON, one of an unknown service, and a
+/// worker's address under another name with a field of the wrong type. Each is logged, and the workers
+/// stay in use.
 #[test]
-fn foreign_entries_take_no_place() {
+fn invalid_list_entries_are_ignored() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     let address = pool.ledger.address();
     let entry = |service: &str, slots: &str| {
@@ -41,21 +48,25 @@
         &["event=unknown_service", "instance=x2"][..],
         &["event=member_unreadable", "instance=\"x 3\\n\""][..],
     ] {
-        pool.until("it is in the log", || pool.entry.logged(line));
+        pool.wait_until("the invalid entry is logged", || pool.entry.logged(line));
     }
-    assert_eq!(pool.ask(&Ask::call("/book/x", "id-1")).status, 200);
-    assert_eq!(pool.ask(&Ask::stream("/draft/x", "id-2", "m0")).status, 200);
+    assert_eq!(pool.request(&Request::call("/book/x", "id-1")).status, 200);
+    assert_eq!(pool.request(&Request::stream("/draft/x", "id-2", "m0")).status, 200);
 }
 
-/// A worker's entry is spoilt after it was good. It names no worker any more; the next one that the
-/// worker writes does.
+/// A worker's valid list entry is overwritten with an invalid one. The worker gets no requests until it
+/// writes a valid entry again.
 #[test]
-fn a_spoilt_entry_names_no_worker() {
+fn an_invalid_list_entry_removes_its_worker() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    assert_eq!(pool.ask(&Ask::call("/book/x", "id-1")).status, 200);
+    assert_eq!(pool.request(&Request::call("/book/x", "id-1")).status, 200);
     pool.store.put("servers", "ledger-1", Some(b"{}".to_vec()));
-    pool.until("it is in the log", || pool.entry.logged(&["event=member_unreadable", "ledger-1"]));
-    assert_eq!(pool.ask(&Ask::call("/book/x", "id-2")).status, 503);
+    pool.wait_until("the invalid entry is logged", || {
+        pool.entry.logged(&["event=member_unreadable", "ledger-1"])
+    });
+    assert_eq!(pool.request(&Request::call("/book/x", "id-2")).status, 503);
     pool.ledger.list("ready");
-    pool.until("it is back", || pool.ask(&Ask::call("/book/x", "id-3")).status == 200);
+    pool.wait_until("the worker is back", || {
+        pool.request(&Request::call("/book/x", "id-3")).status == 200
+    });
 }
--- a/tests/pool/resume.rs
+++ b/tests/pool/resume.rs
@@ -1,98 +1,110 @@
-//! Streams that go on at another worker when theirs breaks off.
+//! Streams that resume at another worker after theirs has failed.
 
 use rstest::rstest;
 
 use citronrill_platform_standin::Mode;
 
-use crate::support::{Answer, Ask, Deployment};
+use crate::support::{Deployment, Request, Response};
 
 const SIGCONT: i32 = 18;
 const SIGSTOP: i32 = 19;
 
-/// A pool of two workers that both hold `m0` and treat requests as `mode` says; the entry has seen one
-/// break off, so that it has runs' memory copied. Which of them a request goes to is not decided here.
-fn pool_that_lost_one(mode: Mode) -> Deployment {
+/// Starts a pool of two workers that both hold `m0` and behave as `mode` says. The entry has seen one
+/// stream fail, so it requests KV backups. A request may go to either worker.
+fn pool_with_backups(mode: Mode) -> Deployment {
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"])]);
     pool.engines.iter().for_each(|engine| engine.set_mode(Mode::Break));
-    let answer = pool.ask(&Ask::stream("/draft/x", "lost", "m0"));
-    assert!(!answer.whole, "nothing was copied yet");
+    let response = pool.request(&Request::stream("/draft/x", "lost", "m0"));
+    assert!(!response.complete, "resumed without a backup");
     pool.engines.iter().for_each(|engine| engine.set_mode(mode));
     pool
 }
 
-fn numbers(answer: &Answer) -> Vec<u32> {
-    let numbers = answer.body.lines().filter_map(|line| line.strip_prefix("id: "));
-    numbers.map(|number| number.parse().unwrap()).collect()
+fn event_ids(response: &Response) -> Vec<u32> {
+    let event_ids = response.body.lines().filter_map(|line| line.strip_prefix("id: "));
+    event_ids.map(|number| number.parse().unwrap()).collect()
 }
 
-/// A worker breaks off in the middle of a stream that may run once, between two events or within one. The
-/// caller has each event once and whole: the other worker goes on from its copy of the memory.
+/// A worker fails in the middle of a stream that may run only once, between two events or within one. The
+/// other worker resumes from its KV backup, and the caller gets each event exactly once.
 #[rstest]
 #[case(Mode::BreakAnew)]
 #[case(Mode::BreakWithin)]
-fn a_stream_goes_on_from_its_copy(#[case] mode: Mode) {
-    let pool = pool_that_lost_one(mode);
-    let answer = pool.ask(&Ask::stream("/draft/x", "id-1", "m0"));
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
-    assert_eq!(numbers(&answer), (0..20).collect::<Vec<_>>());
+fn a_stream_resumes_from_its_kv_backup(#[case] mode: Mode) {
+    let pool = pool_with_backups(mode);
+    let response = pool.request(&Request::stream("/draft/x", "id-1", "m0"));
+    assert_eq!((response.status, response.complete), (200, true), "{response:?}");
+    assert_eq!(event_ids(&response), (0..20).collect::<Vec<_>>());
     let after = pool.engines.iter().filter_map(|engine| engine.header("last-event-id"));
-    assert_eq!(after.collect::<Vec<_>>(), ["1"], "one of them began, the other went on");
+    assert_eq!(
+        after.collect::<Vec<_>>(),
+        ["1"],
+        "one worker started the run, the other resumed it"
+    );
     let ran = pool.engines.iter().flat_map(|engine| engine.ran()).filter(|id| id == "id-1");
-    assert_eq!(ran.count(), 1, "it is the same run");
-    pool.until("it is in the log", || pool.entry.logged(&["event=sent", "copy=true"]));
-    pool.until("nothing runs any more", || pool.engines.iter().all(|one| one.running() == 0));
+    assert_eq!(ran.count(), 1, "the run was started more than once");
+    pool.wait_until("the resumption is logged", || pool.entry.logged(&["event=sent", "copy=true"]));
+    pool.wait_until("no engine has a run left", || {
+        pool.engines.iter().all(|engine| engine.running() == 0)
+    });
 }
 
-/// A stream that may be resumed goes on at another worker without a copy.
+/// A resumable stream resumes at another worker without a KV backup.
 #[test]
-fn a_resumable_stream_goes_on_without_a_copy() {
+fn a_resumable_stream_resumes_without_a_backup() {
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"])]);
     pool.engines.iter().for_each(|engine| engine.set_mode(Mode::BreakAnew));
-    let answer = pool.ask(&Ask::stream("/chat/x", "id-1", "m0"));
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
-    assert_eq!(numbers(&answer), (0..20).collect::<Vec<_>>());
+    let response = pool.request(&Request::stream("/chat/x", "id-1", "m0"));
+    assert_eq!((response.status, response.complete), (200, true), "{response:?}");
+    assert_eq!(event_ids(&response), (0..20).collect::<Vec<_>>());
 }
 
-/// Guards against a caller who hangs at an instance that stands still, its side with it, until that wakes.
+/// Guards against a caller that hangs until a stalled instance, engine and side, responds again.
 #[test]
-fn a_resumable_stream_leaves_an_instance_that_stands_still() {
+fn a_resumable_stream_fails_over_from_a_stalled_instance() {
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"])]);
     pool.engines.iter().for_each(|engine| engine.set_mode(Mode::StallAnew));
-    let mut stream = pool.open(&Ask::stream("/chat/x", "id-1", "m0"));
+    let mut stream = pool.send(&Request::stream("/chat/x", "id-1", "m0"));
     let running = || pool.engines.iter().position(|engine| engine.running() == 1);
-    pool.until("a worker has it", || running().is_some());
+    pool.wait_until("a worker runs it", || running().is_some());
     let side = &pool.sides[running().unwrap()];
     side.signal(SIGSTOP);
-    let answer = Answer::read(&mut stream);
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
-    assert_eq!(numbers(&answer), (0..20).collect::<Vec<_>>());
+    let response = Response::read(&mut stream);
+    assert_eq!((response.status, response.complete), (200, true), "{response:?}");
+    assert_eq!(event_ids(&response), (0..20).collect::<Vec<_>>());
     let logged = |parts: &[&str]| pool.entry.logged(parts);
     assert!(logged(&["event=stands_still"]) && logged(&["event=moved", "id=id-1", "begun=true"]));
     side.signal(SIGCONT);
-    pool.until("it moves again", || logged(&["event=moves_again"]));
+    pool.wait_until("the instance responds again", || logged(&["event=moves_again"]));
 }
 
-/// The worker that has the copy fails too. What it says of that does not come for the rest of the answer,
-/// which ends there and does not look whole.
+/// The worker that resumes the stream fails too. Its error response is not appended to the stream, which
+/// ends there, visibly incomplete.
 #[rstest]
 #[case("/draft/x")]
 #[case("/chat/x")]
-fn a_failure_does_not_end_a_stream(#[case] path: &str) {
-    let pool = pool_that_lost_one(Mode::BreakThenFail);
-    let answer = pool.ask(&Ask::stream(path, "id-1", "m0"));
-    assert_eq!((answer.status, answer.whole), (200, false), "{answer:?}");
-    assert!(!answer.body.contains("failed"), "{answer:?}");
-    pool.until("it is in the log", || pool.entry.logged(&["event=cut", "reason=broken"]));
+fn a_failed_resume_leaves_the_stream_incomplete(#[case] path: &str) {
+    let pool = pool_with_backups(Mode::BreakThenFail);
+    let response = pool.request(&Request::stream(path, "id-1", "m0"));
+    assert_eq!((response.status, response.complete), (200, false), "{response:?}");
+    assert!(!response.body.contains("failed"), "{response:?}");
+    pool.wait_until("the aborted stream is logged", || {
+        pool.entry.logged(&["event=cut", "reason=broken"])
+    });
 }
 
-/// The caller leaves while its stream goes on elsewhere. That run ends too.
+/// The caller disconnects while another worker resumes its stream. That run is cancelled too.
 #[test]
-fn a_caller_that_leaves_ends_what_went_on() {
-    let pool = pool_that_lost_one(Mode::BreakThenHang);
-    let stream = pool.open(&Ask::stream("/draft/x", "id-1", "m0"));
-    pool.until("it goes on", || pool.entry.logged(&["event=sent", "id=id-1", "copy=true"]));
-    pool.until("a worker has it", || pool.engines.iter().any(|one| one.running() == 1));
+fn a_disconnected_caller_cancels_a_resumed_run() {
+    let pool = pool_with_backups(Mode::BreakThenHang);
+    let stream = pool.send(&Request::stream("/draft/x", "id-1", "m0"));
+    pool.wait_until("the stream is resumed", || {
+        pool.entry.logged(&["event=sent", "id=id-1", "copy=true"])
+    });
+    pool.wait_until("a worker runs it", || pool.engines.iter().any(|engine| engine.running() == 1));
     drop(stream);
-    pool.until("nothing runs any more", || pool.engines.iter().all(|one| one.running() == 0));
-    pool.until("it is in the log", || pool.entry.logged(&["event=left", "id=id-1"]));
+    pool.wait_until("no engine has a run left", || {
+        pool.engines.iter().all(|engine| engine.running() == 0)
+    });
+    pool.wait_until("the disconnect is logged", || pool.entry.logged(&["event=left", "id=id-1"]));
 }
--- a/tests/pool/support/messages.rs
+++ b/tests/pool/support/messages.rs
@@ -1,11 +1,11 @@
-//! Requests of callers and their answers.
+//! Requests of callers and their responses.
 
 use std::{io::Read, net::TcpStream};
 
 use super::HOST;
 
-/// One request.
-pub(crate) struct Ask<'a> {
+/// Request of a caller.
+pub(crate) struct Request<'a> {
     pub(crate) method: &'a str,
     pub(crate) path: &'a str,
     pub(crate) id: &'a str,
@@ -14,27 +14,28 @@
     pub(crate) body: &'a [u8],
 }
 
-impl<'a> Ask<'a> {
-    /// A stream under `/chat/` or `/draft/`.
-    pub(crate) fn stream(path: &'a str, id: &'a str, model: &'a str) -> Ask<'a> {
-        Ask { method: "POST", path, id, model, headers: "", body: b"{}" }
+impl<'a> Request<'a> {
+    /// Returns a streaming request under `/chat/` or `/draft/`.
+    pub(crate) fn stream(path: &'a str, id: &'a str, model: &'a str) -> Request<'a> {
+        Request { method: "POST", path, id, model, headers: "", body: b"{}" }
     }
 
-    /// A call of the ledger.
-    pub(crate) fn call(path: &'a str, id: &'a str) -> Ask<'a> {
-        Ask { method: "POST", path, id, model: "", headers: "", body: b"booking" }
+    /// Returns a request to the ledger service.
+    pub(crate) fn call(path: &'a str, id: &'a str) -> Request<'a> {
+        Request { method: "POST", path, id, model: "", headers: "", body: b"booking" }
     }
 
+    /// Returns the request for a connection that closes after the response.
     pub(crate) fn bytes(&self) -> Vec<u8> {
-        self.spell("Connection: close\r\n")
+        self.encode("Connection: close\r\n")
     }
 
-    /// The same on a connection that is to be kept.
-    pub(crate) fn kept_bytes(&self) -> Vec<u8> {
-        self.spell("")
+    /// Returns the request for a keep-alive connection.
+    pub(crate) fn keep_alive_bytes(&self) -> Vec<u8> {
+        self.encode("")
     }
 
-    fn spell(&self, connection: &str) -> Vec<u8> {
+    fn encode(&self, connection: &str) -> Vec<u8> {
         let model = match self.model {
             "" => String::new(),
             model => format!("X-Citronrill-Model: {model}\r\n"),
@@ -53,52 +54,52 @@
     }
 }
 
-/// An answer as it came over the connection.
+/// Response as received on the connection.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
-    /// Whether the body has its end.
-    pub(crate) whole: bool,
+    /// Whether the complete body was received.
+    pub(crate) complete: bool,
 }
 
-impl Answer {
+impl Response {
     /// Reads until the connection closes.
-    pub(crate) fn read(stream: &mut TcpStream) -> Answer {
+    pub(crate) fn read(stream: &mut TcpStream) -> Response {
         let mut bytes = Vec::new();
-        // A reset after the last byte changes nothing about what was read.
+        // A reset after the last byte does not affect what was read.
         let _ = stream.read_to_end(&mut bytes);
-        Answer::parse(&bytes)
+        Response::parse(&bytes)
     }
 
-    /// Reads one answer on a connection that is kept, or what comes of it.
-    pub(crate) fn read_kept(stream: &mut TcpStream) -> Answer {
+    /// Reads one response on a keep-alive connection, or the part of it that arrives.
+    pub(crate) fn read_keep_alive(stream: &mut TcpStream) -> Response {
         let (mut bytes, mut part) = (Vec::new(), [0; 4_096]);
         loop {
-            let answer = Answer::parse(&bytes);
-            if answer.status != 0 && answer.whole {
-                return answer;
+            let response = Response::parse(&bytes);
+            if response.status != 0 && response.complete {
+                return response;
             }
             match stream.read(&mut part) {
-                Ok(0) | Err(_) => return answer,
+                Ok(0) | Err(_) => return response,
                 Ok(read) => bytes.extend_from_slice(&part[..read]),
             }
         }
     }
 
-    fn parse(bytes: &[u8]) -> Answer {
+    fn parse(bytes: &[u8]) -> Response {
         let text = String::from_utf8_lossy(bytes).into_owned();
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         let head = head.to_lowercase();
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
         let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
         let length = length.and_then(|length| length.trim().parse::<usize>().ok());
-        let whole = match length {
+        let complete = match length {
             Some(length) => body.len() == length,
             None => body.ends_with("0\r\n\r\n"),
         };
-        Answer { status, body: body.to_owned(), whole, head }
+        Response { status, body: body.to_owned(), complete, head }
     }
 
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
--- a/tests/pool/support/mod.rs
+++ b/tests/pool/support/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes on loopback, and a caller.
+//! Deployment of real processes on loopback, and a caller.
 
 #![allow(dead_code, reason = "two test programs share this file and use parts of it each")]
 
@@ -18,16 +18,16 @@
 use citronrill_platform_standin::{Link, Platform, Proxy, Store, Worker, WorkerSpec};
 
 pub(crate) use self::{
-    messages::{Answer, Ask},
+    messages::{Request, Response},
     process::Process,
 };
 
 pub(crate) const HOST: &str = "pool.example";
-/// How long a test waits for something that must come.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for conditions that a test waits for.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A port that is free on all loopback addresses that tests use, below those that the system gives
-/// to outgoing connections: one of these may be taken between this look and the listening.
+/// Returns a port that is free on all loopback addresses. It is below the ephemeral range, from which the
+/// system could assign the port to an outgoing connection before the test listens on it.
 pub(crate) fn free_port() -> u16 {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let offset = (std::process::id() % 40) as u16 * 500;
@@ -39,15 +39,15 @@
     }
 }
 
-/// A loopback address of its own, as each instance has.
+/// Returns an unused loopback address, as each instance has its own.
 fn next_ip() -> Ipv4Addr {
     static NEXT: AtomicU16 = AtomicU16::new(0x0102);
     let [high, low] = NEXT.fetch_add(1, Ordering::Relaxed).to_be_bytes();
     Ipv4Addr::new(127, 0, high, low)
 }
 
-/// Version `version` of a text with an engine service, a plain service and their routes.
-pub(crate) fn text(version: u64, extra: &[&str]) -> Vec<u8> {
+/// Returns a configuration with an engine service, a plain service and their routes.
+pub(crate) fn config(version: u64, extra_prefixes: &[&str]) -> Vec<u8> {
     let route = |prefix: &str, kind: &str, service: &str, attempts: u32, resumable: bool| {
         json!({"name": prefix, "host": HOST, "path_prefix": prefix, "type": kind,
             "timeout_ms": 5000, "target_latency_ms": 500, "priority": 0, "service": service,
@@ -64,7 +64,9 @@
         route("/status/", "idempotent", "ledger", 2, false),
         route("/book/", "non_idempotent", "ledger", 1, false),
     ];
-    routes.extend(extra.iter().map(|prefix| route(prefix, "idempotent", "ledger", 2, false)));
+    routes.extend(
+        extra_prefixes.iter().map(|prefix| route(prefix, "idempotent", "ledger", 2, false)),
+    );
     json!({"version": version, "routes": routes, "services": [
         {"name": "engines", "health_path": "/healthz", "max_connections": 200, "protocol": "h1",
          "tls": false, "engine": {"slots": 24, "kv_capacity": 1000, "kv_token_bytes": 1,
@@ -79,20 +81,20 @@
     .into_bytes()
 }
 
-/// Version `version` of a text with so many routes more, about 240 bytes each.
-pub(crate) fn large_text(version: u64, more: usize) -> Vec<u8> {
-    let prefixes = (0..more).map(|index| format!("/more-{index}/")).collect::<Vec<_>>();
-    text(version, &prefixes.iter().map(String::as_str).collect::<Vec<_>>())
+/// Returns a configuration with `extra_routes` additional routes of about 240 bytes each.
+pub(crate) fn large_config(version: u64, extra_routes: usize) -> Vec<u8> {
+    let prefixes = (0..extra_routes).map(|index| format!("/more-{index}/")).collect::<Vec<_>>();
+    config(version, &prefixes.iter().map(String::as_str).collect::<Vec<_>>())
 }
 
-/// A pool: store, workers, sides and one entry.
+/// Pool of a store, workers, sides and one entry.
 pub(crate) struct Deployment {
     pub(crate) entry: Process,
     pub(crate) sides: Vec<Process>,
-    pub(crate) callers: SocketAddr,
-    pub(crate) readiness: SocketAddr,
-    /// Where the entry tells others what it believes.
-    pub(crate) snapshots: SocketAddr,
+    pub(crate) caller_address: SocketAddr,
+    pub(crate) readiness_address: SocketAddr,
+    /// Address at which the entry serves snapshots of its state to peers.
+    pub(crate) snapshot_address: SocketAddr,
     pub(crate) engines: Vec<Worker>,
     pub(crate) ledger: Worker,
     pub(crate) store: Store,
@@ -101,11 +103,11 @@
 }
 
 impl Deployment {
-    /// Starts a pool whose engines hold these models.
+    /// Starts a pool whose engines have these models loaded.
     pub(crate) fn start(engines: &[(&'static str, &[&'static str])]) -> Deployment {
         let platform = Platform::start();
         let store = platform.store();
-        store.put("op", "config", Some(text(1, &[])));
+        store.put("op", "config", Some(config(1, &[])));
         let peer_port = free_port();
         let (mut workers, mut sides) = (Vec::new(), Vec::new());
         for (instance, models) in engines {
@@ -131,33 +133,39 @@
             load_ms: 0,
         };
         let ledger = platform.worker(&store, SocketAddr::from((next_ip(), 0)), spec);
-        let callers = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
-        let readiness = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
-        let snapshots = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
-        let settings =
-            entry_settings(callers, readiness, peer_port, store.address(), snapshots, "");
+        let caller_address = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
+        let readiness_address = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
+        let snapshot_address = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
+        let settings = entry_settings(
+            caller_address,
+            readiness_address,
+            peer_port,
+            store.address(),
+            snapshot_address,
+            "",
+        );
         let entry = Process::start("pool-entry", &settings);
         let deployment = Deployment {
             entry,
             sides,
-            callers,
-            readiness,
-            snapshots,
+            caller_address,
+            readiness_address,
+            snapshot_address,
             engines: workers,
             ledger,
             store,
             peer_port,
             platform,
         };
-        deployment.until("the sides are connected", || {
+        deployment.wait_until("the sides are connected", || {
             let connected = deployment.sides.iter().all(|side| side.logged(&["entry_connected"]));
             connected && deployment.entry.logged(&["event=text "])
         });
         deployment
     }
 
-    /// Puts a proxy before each engine and lists the engines there.
-    pub(crate) fn proxies(&self) -> Vec<Proxy> {
+    /// Puts a proxy in front of each engine and lists the engine at the proxy's address.
+    pub(crate) fn insert_proxies(&self) -> Vec<Proxy> {
         let proxy = |engine: &Worker| {
             let proxy = self.platform.proxy(engine.address());
             engine.list_at(proxy.address());
@@ -166,99 +174,99 @@
         self.engines.iter().map(proxy).collect()
     }
 
-    /// Starts one more entry.
-    pub(crate) fn one_more_entry(&self) -> Process {
-        self.entry_that_asks("")
+    /// Starts another entry.
+    pub(crate) fn add_entry(&self) -> Process {
+        self.add_entry_with_seeds("")
     }
 
-    /// Starts one more entry, which reaches the store through a proxy.
+    /// Starts another entry, which connects to the store through a proxy.
     pub(crate) fn entry_behind_proxy(&self) -> (Process, Proxy) {
         let proxy = self.platform.proxy(self.store.address());
         (start_entry(self.peer_port, proxy.address(), "").0, proxy)
     }
 
-    /// Starts one more entry, which asks these peers while the store is away.
-    pub(crate) fn entry_that_asks(&self, seeds: &str) -> Process {
+    /// Starts another entry, which bootstraps from these peers if the store is unavailable.
+    pub(crate) fn add_entry_with_seeds(&self, seeds: &str) -> Process {
         start_entry(self.peer_port, self.store.address(), seeds).0
     }
 
-    /// Starts one more entry, whose instance has a link of `rate` bytes a second: all that it says to
-    /// the store and to the sides goes over it.
+    /// Starts another entry behind a link of `rate` bytes per second, which carries all its traffic with
+    /// the store and the sides.
     pub(crate) fn entry_behind_link(&self, rate: u64) -> LinkedEntry {
         let link = self.platform.link(rate);
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let store = link.carry(any, self.store.address());
+        let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let store = link.carry(listen, self.store.address());
         let port = free_port();
         for engine in &self.engines {
             let ip = engine.address().ip();
             link.carry(SocketAddr::new(ip, port), SocketAddr::new(ip, self.peer_port));
         }
-        let (process, callers) = start_entry(port, store, "");
-        LinkedEntry { process, callers, link }
+        let (process, caller_address) = start_entry(port, store, "");
+        LinkedEntry { process, caller_address, link }
     }
 
-    /// Starts the entry again, as the platform does after a kill.
+    /// Kills and restarts the entry, as the platform does.
     pub(crate) fn restart_entry(&mut self) {
-        self.entry.start_again();
-        self.until("the entry is started", || self.entry.logged(&["event=started"]));
+        self.entry.restart();
+        self.wait_until("the entry is started", || self.entry.logged(&["event=started"]));
     }
 
-    /// Waits until `done`.
-    pub(crate) fn until(&self, what: &str, done: impl Fn() -> bool) {
-        until(what, done);
+    /// Waits until `done` returns true.
+    pub(crate) fn wait_until(&self, what: &str, done: impl Fn() -> bool) {
+        wait_until(what, done);
     }
 
-    /// Sends one request and reads its whole answer.
-    pub(crate) fn ask(&self, request: &Ask<'_>) -> Answer {
-        let mut stream = self.open(request);
-        Answer::read(&mut stream)
+    /// Sends a request and reads its response.
+    pub(crate) fn request(&self, request: &Request<'_>) -> Response {
+        let mut stream = self.send(request);
+        Response::read(&mut stream)
     }
 
-    /// Sends one request; its answer is still to be read.
-    pub(crate) fn open(&self, request: &Ask<'_>) -> TcpStream {
-        let mut stream = TcpStream::connect(self.callers).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    /// Sends a request and returns the connection for reading the response.
+    pub(crate) fn send(&self, request: &Request<'_>) -> TcpStream {
+        let mut stream = TcpStream::connect(self.caller_address).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream.write_all(&request.bytes()).unwrap();
         stream
     }
 
-    /// Whether the entry says that it is ready.
+    /// Returns whether the entry reports that it is ready.
     pub(crate) fn ready(&self) -> bool {
-        let Ok(mut stream) = TcpStream::connect(self.readiness) else { return false };
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let Ok(mut stream) = TcpStream::connect(self.readiness_address) else { return false };
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
             .write_all(b"GET /api/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             .unwrap();
-        Answer::read(&mut stream).status == 200
+        Response::read(&mut stream).status == 200
     }
 }
 
-/// Starts an entry on addresses of its own; gives it and where callers reach it.
+/// Starts an entry on unused addresses; returns it with its address for callers.
 fn start_entry(peer_port: u16, store: SocketAddr, seeds: &str) -> (Process, SocketAddr) {
     let address = || SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
-    let callers = address();
-    let settings = entry_settings(callers, address(), peer_port, store, address(), seeds);
-    (Process::start("pool-entry", &settings), callers)
+    let caller_address = address();
+    let settings = entry_settings(caller_address, address(), peer_port, store, address(), seeds);
+    (Process::start("pool-entry", &settings), caller_address)
 }
 
-/// An entry behind a link of its own.
+/// Entry behind its own link.
 pub(crate) struct LinkedEntry {
     pub(crate) process: Process,
-    pub(crate) callers: SocketAddr,
+    pub(crate) caller_address: SocketAddr,
     pub(crate) link: Link,
 }
 
-/// Waits until `done`; panics after [`PATIENCE`].
-pub(crate) fn until(what: &str, done: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+/// Waits until `done` returns true; panics after [`WAIT_TIMEOUT`].
+pub(crate) fn wait_until(what: &str, done: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !done() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         thread::yield_now();
     }
 }
 
-/// The sections that both roles share.
-fn common(name: &str, peers: SocketAddr, store: SocketAddr) -> String {
+/// Returns the settings sections that both roles share.
+fn common_settings(name: &str, peers: SocketAddr, store: SocketAddr) -> String {
     let metrics = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
     format!(
         "[process]\nname = {name}\nzone = a\nstop_s = 4\n[platform]\nstore = {store}\n\
@@ -270,23 +278,24 @@
 fn side_settings(name: &str, peers: SocketAddr, store: &Store, worker: &Worker) -> String {
     format!(
         "{}callers =\nreadiness =\n[endpoint]\naddress = {}\nservice = engines\n",
-        common(name, peers, store.address()),
+        common_settings(name, peers, store.address()),
         worker.address()
     )
 }
 
 fn entry_settings(
-    callers: SocketAddr,
-    readiness: SocketAddr,
+    caller_address: SocketAddr,
+    readiness_address: SocketAddr,
     peer_port: u16,
     store: SocketAddr,
-    snapshots: SocketAddr,
+    snapshot_address: SocketAddr,
     seeds: &str,
 ) -> String {
     let peers = SocketAddr::from((Ipv4Addr::LOCALHOST, peer_port));
     format!(
-        "{}callers = {callers}\nreadiness = {readiness}\nsnapshots = {snapshots}\nseeds = {seeds}\n\
+        "{}callers = {caller_address}\nreadiness = {readiness_address}\n\
+         snapshots = {snapshot_address}\nseeds = {seeds}\n\
          [endpoint]\naddress =\nservice =\n",
-        common("entry-1", peers, store)
+        common_settings("entry-1", peers, store)
     )
 }
--- a/tests/pool/support/process.rs
+++ b/tests/pool/support/process.rs
@@ -1,4 +1,4 @@
-//! Processes of citronrill, their logs and their metrics.
+//! Citronrill processes, their logs and their metrics.
 
 use std::{
     fs,
@@ -11,9 +11,9 @@
     time::Instant,
 };
 
-use super::{Answer, PATIENCE, free_port};
+use super::{Response, WAIT_TIMEOUT, free_port};
 
-/// A process of citronrill; it is killed when this is dropped.
+/// Citronrill process, killed on drop.
 pub(crate) struct Process {
     pub(crate) child: Child,
     role: String,
@@ -22,7 +22,7 @@
 }
 
 impl Process {
-    /// Starts `role` with these settings.
+    /// Starts a process of this role with these settings.
     pub(crate) fn start(role: &str, settings: &str) -> Process {
         let file = std::env::temp_dir().join(format!(
             "citronrill-pool-{}-{}.ini",
@@ -37,56 +37,56 @@
             .unwrap();
         let lines = Arc::new(Mutex::new(Vec::new()));
         let out = BufReader::new(child.stdout.take().unwrap());
-        let kept = lines.clone();
+        let captured = lines.clone();
         thread::spawn(move || {
             for line in out.lines().map_while(Result::ok) {
-                kept.lock().unwrap().push(line);
+                captured.lock().unwrap().push(line);
             }
         });
         Process { child, role: role.to_owned(), lines, settings: file }
     }
 
-    /// Kills it and starts it with the same settings, as the platform does; its log begins anew.
-    pub(crate) fn start_again(&mut self) {
+    /// Kills and restarts the process with the same settings, as the platform does; clears its log.
+    pub(crate) fn restart(&mut self) {
         let settings = fs::read_to_string(&self.settings).unwrap();
         self.kill();
         *self = Process::start(&self.role, &settings);
     }
 
-    /// Kills it and waits until it is gone, and with it its listeners.
+    /// Kills the process and waits for its end, so that its listeners are closed.
     pub(crate) fn kill(&mut self) {
-        // An error means that it has ended already.
+        // An error means that it has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// The numbers that follow `key` in the lines of its log that have `event`, in order.
-    pub(crate) fn numbers(&self, event: &str, key: &str) -> Vec<u64> {
+    /// Returns the numbers that follow `key` in the log lines that contain `event`, in order.
+    pub(crate) fn logged_numbers(&self, event: &str, key: &str) -> Vec<u64> {
         let lines = self.lines.lock().unwrap();
         let lines = lines.iter().filter(|line| line.contains(event));
         let words = lines.filter_map(|line| line.split(' ').find_map(|w| w.strip_prefix(key)));
         words.filter_map(|word| word.parse().ok()).collect()
     }
 
-    /// Whether a line of its log has all of these parts.
+    /// Returns whether a log line contains all of these parts.
     pub(crate) fn logged(&self, parts: &[&str]) -> bool {
         self.count(parts) > 0
     }
 
-    /// How many lines of its log have all of these parts.
+    /// Returns the number of log lines that contain all of these parts.
     pub(crate) fn count(&self, parts: &[&str]) -> usize {
         let lines = self.lines.lock().unwrap();
         lines.iter().filter(|line| parts.iter().all(|part| line.contains(part))).count()
     }
 
-    /// A count of its metrics.
+    /// Returns the value of an unlabelled metric.
     pub(crate) fn metric(&self, name: &str) -> u64 {
         let settings = fs::read_to_string(&self.settings).unwrap();
         let address = settings.lines().find_map(|line| line.strip_prefix("metrics = ")).unwrap();
         let mut stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").unwrap();
-        let body = Answer::read(&mut stream).body;
+        let body = Response::read(&mut stream).body;
         let line = body.lines().find_map(|line| line.strip_prefix(name)).unwrap();
         line.trim().parse().unwrap()
     }
@@ -98,23 +98,23 @@
         assert!(status.success());
     }
 
-    /// Waits for its end; gives the exit code.
-    pub(crate) fn wait(&mut self) -> Option<i32> {
-        let end = Instant::now() + PATIENCE;
-        while Instant::now() < end {
+    /// Waits until the process exits; returns its exit code.
+    pub(crate) fn wait_exit(&mut self) -> Option<i32> {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
             thread::yield_now();
         }
-        panic!("the process does not end");
+        panic!("timed out waiting for the process to exit");
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
         self.kill();
-        // An error leaves a file in the folder for such files.
+        // An error only leaves the file in the temporary directory.
         let _ = fs::remove_file(&self.settings);
     }
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that go on whatever happens, and what they saw.
+//! Callers that keep sending requests during faults, and records of the responses.
 
 use std::{
     collections::BTreeMap,
@@ -16,56 +16,56 @@
 
 use crate::{
     faults::EntryPoint,
-    support::{Answer, Ask, PATIENCE},
+    support::{Request, Response, WAIT_TIMEOUT},
 };
 
-/// How long a caller rests between two requests.
-const REST: Duration = Duration::from_millis(30);
-/// Milliseconds beyond the route's timeout by which every request has its end.
-const LATE_MS: u128 = 1_500;
-/// The route's timeout in milliseconds.
+/// Pause of a caller between two requests.
+const REQUEST_PAUSE: Duration = Duration::from_millis(30);
+/// Time beyond the route's timeout by which every request must have ended.
+const TIMEOUT_MARGIN_MS: u128 = 1_500;
+/// The route's timeout.
 const TIMEOUT_MS: u128 = 5_000;
 
-/// What a caller saw of one request.
+/// Result of one request as its caller observed it.
 pub(crate) struct Record {
     id: String,
     path: &'static str,
     pub(crate) status: u16,
-    whole: bool,
+    complete: bool,
     body: String,
-    echo: Option<String>,
+    echoed_id: Option<String>,
     took_ms: u128,
-    /// Whether the entry was killed or paused meanwhile.
+    /// Whether the entry was killed or paused during the request.
     disturbed: bool,
-    /// Whether its connection had borne a request before: it may have crossed the entry's closing, and
-    /// was not read then.
+    /// Whether its connection had carried a request before: the entry may have closed it concurrently,
+    /// without reading this request.
     reused: bool,
 }
 
 impl Record {
-    /// Whether a whole success came.
+    /// Returns whether a complete success was received.
     pub(crate) fn served(&self) -> bool {
-        self.status == 200 && self.whole
+        self.status == 200 && self.complete
     }
 
-    /// What it shows to be broken, given how often each request ran.
-    pub(crate) fn check(&self, ran: &BTreeMap<String, usize>) -> Option<String> {
+    /// Returns the guarantee that the record shows to be violated, given how often each request ran.
+    pub(crate) fn violation(&self, ran: &BTreeMap<String, usize>) -> Option<String> {
         let runs = ran.get(&self.id).copied().unwrap_or(0);
-        let once = matches!(self.path, "/draft/x" | "/book/x");
-        let what = if once && runs > 1 {
+        let non_repeatable = matches!(self.path, "/draft/x" | "/book/x");
+        let what = if non_repeatable && runs > 1 {
             "ran more than once"
-        } else if once && self.status == 503 && runs > 0 {
-            "ran and was told that it had not"
-        } else if self.served() && self.echo.as_deref() != Some(self.id.as_str()) {
-            "has another request's answer"
+        } else if non_repeatable && self.status == 503 && runs > 0 {
+            "ran, but was refused as not executed"
+        } else if self.served() && self.echoed_id.as_deref() != Some(self.id.as_str()) {
+            "got the response to another request"
         } else if self.served() && runs == 0 {
-            "was served without a run"
+            "was served without having run"
         } else if self.served() && self.path != "/book/x" && !self.in_order() {
-            "has a stream that is not whole or out of order"
+            "got a stream with missing or reordered events"
         } else if self.status == 0 && !self.disturbed && !(self.reused && runs == 0) {
-            "has no answer though its entry was left alone"
-        } else if self.took_ms > TIMEOUT_MS + LATE_MS && !self.disturbed {
-            "was held beyond its end"
+            "got no response although its entry was not disturbed"
+        } else if self.took_ms > TIMEOUT_MS + TIMEOUT_MARGIN_MS && !self.disturbed {
+            "was held beyond its timeout"
         } else {
             return None;
         };
@@ -81,82 +81,82 @@
     }
 }
 
-/// One caller.
+/// Caller that sends requests to one entry.
 pub(crate) struct Caller {
     name: String,
     rng: SmallRng,
     entry: EntryPoint,
-    /// Whether it uses its connection until the entry has closed it, whatever the entry says.
-    keeps: bool,
-    open: Option<TcpStream>,
+    /// Whether it reuses its connection until the entry closes it, even after `Connection: close`.
+    keep_alive: bool,
+    connection: Option<TcpStream>,
 }
 
 impl Caller {
     pub(crate) fn new(seed: u64, index: u64, entry: EntryPoint) -> Caller {
         let rng = SmallRng::seed_from_u64(seed * 1_000 + index);
-        let keeps = (index / 2).is_multiple_of(2);
-        Caller { name: format!("c{seed}-{index}"), rng, entry, keeps, open: None }
+        let keep_alive = (index / 2).is_multiple_of(2);
+        Caller { name: format!("c{seed}-{index}"), rng, entry, keep_alive, connection: None }
     }
 
-    /// Sends requests until `stop`.
+    /// Sends requests until `stop` is set.
     pub(crate) fn run(mut self, stop: &AtomicBool, records: &Mutex<Vec<Record>>) {
         let mut number = 0;
         while !stop.load(Ordering::Relaxed) {
             number += 1;
             let id = format!("{}-{number}", self.name);
-            if let Some(record) = self.ask(id) {
+            if let Some(record) = self.send_request(id) {
                 records.lock().unwrap().push(record);
             }
-            thread::sleep(REST);
+            thread::sleep(REQUEST_PAUSE);
         }
     }
 
-    fn ask(&mut self, id: String) -> Option<Record> {
+    fn send_request(&mut self, id: String) -> Option<Record> {
         let path = ["/chat/x", "/draft/x", "/book/x"][self.rng.random_range(0..3)];
         let model = match path {
             "/chat/x" => "m0",
             "/draft/x" => ["m0", "m1", "m2", "m3"][self.rng.random_range(0..4)],
             _ => "",
         };
-        let before = self.entry.disturbed.calm();
-        let begun = Instant::now();
-        let ask = match model {
-            "" => Ask::call(path, &id),
-            model => Ask::stream(path, &id, model),
+        let before = self.entry.disturbances.count_if_idle();
+        let started = Instant::now();
+        let request = match model {
+            "" => Request::call(path, &id),
+            model => Request::stream(path, &id, model),
         };
-        let reused = self.open.is_some();
-        let answer = self.exchange(&ask)?;
-        let disturbed = before.is_none() || self.entry.disturbed.calm() != before;
+        let reused = self.connection.is_some();
+        let response = self.exchange(&request)?;
+        let disturbed = before.is_none() || self.entry.disturbances.count_if_idle() != before;
         Some(Record {
             path,
-            status: answer.status,
-            whole: answer.whole,
-            echo: answer.header("x-citronrill-attempt-id").map(str::to_owned),
-            body: answer.body,
-            took_ms: begun.elapsed().as_millis(),
+            status: response.status,
+            complete: response.complete,
+            echoed_id: response.header("x-citronrill-attempt-id").map(str::to_owned),
+            body: response.body,
+            took_ms: started.elapsed().as_millis(),
             disturbed,
             reused,
             id,
         })
     }
 
-    /// Sends one request; gives what came of it, or nothing if it could not be sent.
-    fn exchange(&mut self, ask: &Ask<'_>) -> Option<Answer> {
-        let mut stream = match self.open.take() {
+    /// Sends one request; returns the response, or `None` if the request could not be sent.
+    fn exchange(&mut self, request: &Request<'_>) -> Option<Response> {
+        let mut stream = match self.connection.take() {
             Some(stream) => stream,
-            // Nobody listens while the entry is down, which is not a request of the system's.
+            // The entry is down and does not listen, so the system never received the request.
             None => TcpStream::connect(self.entry.address).ok()?,
         };
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        if !self.keeps {
-            stream.write_all(&ask.bytes()).ok()?;
-            return Some(Answer::read(&mut stream));
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        if !self.keep_alive {
+            stream.write_all(&request.bytes()).ok()?;
+            return Some(Response::read(&mut stream));
         }
-        stream.write_all(&ask.kept_bytes()).ok()?;
-        let answer = Answer::read_kept(&mut stream);
-        if answer.status != 0 && answer.whole {
-            self.open = Some(stream);
+        stream.write_all(&request.keep_alive_bytes()).ok()?;
+        let response = Response::read_keep_alive(&mut stream);
+        if response.status != 0 && response.complete {
+            self.connection = Some(stream);
         }
-        Some(answer)
+        Some(response)
     }
 }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to the processes, the connections and the store. Faults come in series and overlap.
+//! Injects overlapping faults into the processes, the connections and the store.
 
 use std::{
     collections::BTreeMap,
@@ -14,40 +14,40 @@
 use citronrill_platform_standin::{Harm, Mode, Outage, Proxy};
 use rand::{Rng, rngs::SmallRng};
 
-use crate::support::{Deployment, LinkedEntry, PATIENCE, Process, large_text, text};
+use crate::support::{Deployment, LinkedEntry, Process, WAIT_TIMEOUT, config, large_config};
 
 const SIGHUP: i32 = 1;
 const SIGTERM: i32 = 15;
 const SIGCONT: i32 = 18;
 const SIGSTOP: i32 = 19;
-/// Faults of one run.
+/// Number of faults in a run.
 const FAULTS: usize = 24;
-/// Milliseconds that a fault lasts at most: over the time after which sides count as silent. The next
-/// one comes after a third of that at most, so that two or three overlap.
-const LONGEST_MS: u64 = 1_500;
-const PAUSE_MS: u64 = 500;
-/// Bytes a second of an entry's slow link: a large text takes longer on it than sides or the store were
-/// ever given for one.
+/// Maximum duration of a fault, beyond the time after which a side counts as silent. The next fault starts
+/// after at most a third of it, so that two or three faults overlap.
+const MAX_FAULT_MS: u64 = 1_500;
+const MAX_PAUSE_MS: u64 = 500;
+/// Bytes per second of an entry's slow link, on which a large configuration takes longer than a fixed
+/// timeout of sides or of store reads would allow.
 const SLOW_LINK: u64 = 800_000;
-/// Routes that make a text of 330 KB.
-const MANY_ROUTES: usize = 1_400;
+/// Additional routes, for a configuration of 330 KB.
+const EXTRA_ROUTES: usize = 1_400;
 
-/// What is done to an entry, as its callers are told.
+/// Counts disturbances of an entry, so that its callers can tell whether one overlapped a request.
 #[derive(Debug, Default)]
-pub(crate) struct Disturbed {
-    begun: AtomicU64,
+pub(crate) struct Disturbances {
+    started: AtomicU64,
     ended: AtomicU64,
 }
 
-impl Disturbed {
-    /// How often something was begun, if nothing is under way.
-    pub(crate) fn calm(&self) -> Option<u64> {
-        let begun = self.begun.load(Ordering::Relaxed);
-        (self.ended.load(Ordering::Relaxed) == begun).then_some(begun)
+impl Disturbances {
+    /// Returns the number of disturbances so far, or `None` during one.
+    pub(crate) fn count_if_idle(&self) -> Option<u64> {
+        let started = self.started.load(Ordering::Relaxed);
+        (self.ended.load(Ordering::Relaxed) == started).then_some(started)
     }
 
     fn begin(&self) {
-        self.begun.fetch_add(1, Ordering::Relaxed);
+        self.started.fetch_add(1, Ordering::Relaxed);
     }
 
     fn end(&self) {
@@ -55,197 +55,202 @@
     }
 }
 
-/// An entry as callers know it.
+/// Entry as seen by its callers.
 #[derive(Clone)]
 pub(crate) struct EntryPoint {
     pub(crate) address: SocketAddr,
-    pub(crate) disturbed: Arc<Disturbed>,
+    pub(crate) disturbances: Arc<Disturbances>,
 }
 
-/// What ends a fault.
+/// Action that ends a fault.
 #[derive(Debug, Clone, Copy)]
-enum End {
+enum FaultEnd {
     ResumeEntry(usize),
     ResumeSide(usize),
     StartSide(usize),
-    CureWorker(usize),
-    CurePath(usize),
-    StoreUp,
+    RestoreWorker(usize),
+    RestoreLink(usize),
+    RestoreStore,
 }
 
-/// A pool with proxies before its workers, and what is done to it.
+/// Pool with proxies in front of its workers, and the faults injected into it.
 pub(crate) struct Harness {
     deployment: Deployment,
-    /// The entries beside the deployment's own, all behind slow links.
-    others: Vec<LinkedEntry>,
-    points: Vec<EntryPoint>,
-    /// Entries that are being stopped as planned.
+    /// Entries in addition to the deployment's own, all behind slow links.
+    extra_entries: Vec<LinkedEntry>,
+    entry_points: Vec<EntryPoint>,
+    /// Which entries are in a planned stop.
     stopping: Vec<bool>,
     proxies: Vec<Proxy>,
     rng: SmallRng,
-    ends: Vec<(Instant, End)>,
+    pending_ends: Vec<(Instant, FaultEnd)>,
     version: u64,
     started: Instant,
-    story: Vec<String>,
-    broken: Vec<String>,
+    fault_log: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Harness {
     pub(crate) fn new(deployment: Deployment, entries: usize, rng: SmallRng) -> Harness {
-        let others = (1..entries).map(|_| deployment.entry_behind_link(SLOW_LINK));
-        let others = others.collect::<Vec<_>>();
-        let addresses = others.iter().map(|entry| entry.callers);
-        let addresses = [deployment.callers].into_iter().chain(addresses);
-        let point = |address| EntryPoint { address, disturbed: Arc::default() };
-        let proxies = deployment.proxies();
+        let extra_entries = (1..entries).map(|_| deployment.entry_behind_link(SLOW_LINK));
+        let extra_entries = extra_entries.collect::<Vec<_>>();
+        let addresses = extra_entries.iter().map(|entry| entry.caller_address);
+        let addresses = [deployment.caller_address].into_iter().chain(addresses);
+        let point = |address| EntryPoint { address, disturbances: Arc::default() };
+        let proxies = deployment.insert_proxies();
         Harness {
-            points: addresses.map(point).collect(),
+            entry_points: addresses.map(point).collect(),
             stopping: vec![false; entries],
             deployment,
-            others,
+            extra_entries,
             proxies,
             rng,
-            ends: Vec::new(),
+            pending_ends: Vec::new(),
             version: 1,
             started: Instant::now(),
-            story: Vec::new(),
-            broken: Vec::new(),
+            fault_log: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// Where callers go.
-    pub(crate) fn callers(&self) -> Vec<EntryPoint> {
-        self.points.clone()
+    /// Returns the entries to which callers send requests.
+    pub(crate) fn entry_points(&self) -> Vec<EntryPoint> {
+        self.entry_points.clone()
     }
 
-    /// What was done, and when.
-    pub(crate) fn story(&self) -> Vec<String> {
-        self.story.clone()
+    /// Returns the injected faults and when they started.
+    pub(crate) fn fault_log(&self) -> Vec<String> {
+        self.fault_log.clone()
     }
 
-    /// Does one fault after the other; each ends by itself while others are under way.
+    /// Injects the faults one after another; each ends after its own duration, while others may be active.
     pub(crate) fn run(&mut self) {
-        self.rest(500);
+        self.advance(500);
         for _ in 0..FAULTS {
             let fault = self.rng.random_range(0..13);
-            self.fault(fault);
-            let pause = self.rng.random_range(0..PAUSE_MS);
-            self.rest(pause);
+            self.inject(fault);
+            let pause = self.rng.random_range(0..MAX_PAUSE_MS);
+            self.advance(pause);
         }
-        while !self.ends.is_empty() || self.stopping.contains(&true) {
-            self.rest(20);
+        while !self.pending_ends.is_empty() || self.stopping.contains(&true) {
+            self.advance(20);
         }
-        self.rest(1_000);
+        self.advance(1_000);
     }
 
-    fn fault(&mut self, fault: u32) {
+    fn inject(&mut self, fault: u32) {
         let side = self.rng.random_range(0..self.deployment.engines.len());
-        let entry = self.rng.random_range(0..self.points.len());
-        let lasts = self.rng.random_range(200..LONGEST_MS);
+        let entry = self.rng.random_range(0..self.entry_points.len());
+        let duration_ms = self.rng.random_range(200..MAX_FAULT_MS);
         match fault {
             0 => self.kill_entry(entry),
             1 => {
-                self.tell(format!("entry {entry} paused for {lasts} ms"));
-                self.points[entry].disturbed.begin();
+                self.log_fault(format!("entry {entry} paused for {duration_ms} ms"));
+                self.entry_points[entry].disturbances.begin();
                 self.entry(entry).signal(SIGSTOP);
-                self.end_after(lasts, End::ResumeEntry(entry));
+                self.end_after(duration_ms, FaultEnd::ResumeEntry(entry));
             }
             2 => self.stop_entry(entry),
             3 => {
-                self.tell(format!("entry {entry} told to read its settings"));
+                self.log_fault(format!("entry {entry} reloads its settings"));
                 self.entry(entry).signal(SIGHUP);
             }
             4 => {
-                self.tell(format!("side {side} killed for {lasts} ms"));
+                self.log_fault(format!("side {side} killed for {duration_ms} ms"));
                 self.deployment.sides[side].kill();
-                self.end_after(lasts, End::StartSide(side));
+                self.end_after(duration_ms, FaultEnd::StartSide(side));
             }
-            5 => self.pause_side(side, lasts),
+            5 => self.pause_side(side, duration_ms),
             6 | 7 => {
                 let modes = [Mode::Hang, Mode::Break, Mode::Unsigned, Mode::Foreign, Mode::Full];
                 let mode = modes[self.rng.random_range(0..modes.len())];
-                self.tell(format!("worker {side} in {mode:?} for {lasts} ms"));
+                self.log_fault(format!("worker {side} in {mode:?} for {duration_ms} ms"));
                 self.deployment.engines[side].set_mode(mode);
-                self.end_after(lasts, End::CureWorker(side));
+                self.end_after(duration_ms, FaultEnd::RestoreWorker(side));
             }
             8 | 9 => {
                 let harms = [Harm::Delay, Harm::Silent, Harm::OneWay, Harm::Reset];
                 let harm = harms[self.rng.random_range(0..harms.len())];
-                self.tell(format!("connections to worker {side}: {harm:?} for {lasts} ms"));
+                self.log_fault(format!(
+                    "connections to worker {side}: {harm:?} for {duration_ms} ms"
+                ));
                 self.proxies[side].set(harm);
-                self.end_after(lasts, End::CurePath(side));
+                self.end_after(duration_ms, FaultEnd::RestoreLink(side));
             }
             10 => {
-                // By what was drawn already, so that a seed goes on meaning the same.
-                let outage = if lasts % 2 == 0 { Outage::Refuse } else { Outage::Silent };
-                self.tell(format!("store down for {lasts} ms: {outage:?}"));
+                // No further random draw, so that existing seeds keep their sequence of faults.
+                let outage = if duration_ms % 2 == 0 { Outage::Refuse } else { Outage::Silent };
+                self.log_fault(format!("store down for {duration_ms} ms: {outage:?}"));
                 self.deployment.store.set_outage(Some(outage));
-                self.end_after(lasts, End::StoreUp);
+                self.end_after(duration_ms, FaultEnd::RestoreStore);
             }
-            11 => self.write_text("a new text", |version| text(version, &["/added/"])),
-            _ => self.write_text("a large text", |version| large_text(version, MANY_ROUTES)),
+            11 => self.write_config("new configuration", |version| config(version, &["/added/"])),
+            _ => self
+                .write_config("large configuration", |version| large_config(version, EXTRA_ROUTES)),
         }
     }
 
     fn entry(&mut self, index: usize) -> &mut Process {
         match index {
             0 => &mut self.deployment.entry,
-            _ => &mut self.others[index - 1].process,
+            _ => &mut self.extra_entries[index - 1].process,
         }
     }
 
-    /// Kills an entry and starts it again, also in the middle of a planned stop.
+    /// Kills and restarts an entry, even during a planned stop.
     fn kill_entry(&mut self, index: usize) {
-        self.tell(format!("entry {index} killed"));
-        self.points[index].disturbed.begin();
+        self.log_fault(format!("entry {index} killed"));
+        self.entry_points[index].disturbances.begin();
         self.stopping[index] = false;
-        self.entry(index).start_again();
-        self.points[index].disturbed.end();
+        self.entry(index).restart();
+        self.entry_points[index].disturbances.end();
     }
 
-    /// Begins to stop an entry as planned: nothing may be cut, so callers are not told.
+    /// Starts a planned stop of an entry. It is not counted as a disturbance, as no request may fail.
     fn stop_entry(&mut self, index: usize) {
-        self.tell(format!("entry {index} is stopped as planned"));
+        self.log_fault(format!("entry {index} starts a planned stop"));
         self.entry(index).signal(SIGHUP);
         self.entry(index).signal(SIGTERM);
         self.stopping[index] = true;
     }
 
-    fn pause_side(&mut self, side: usize, lasts: u64) {
-        if !self.is_gone(side) {
-            self.tell(format!("side {side} paused for {lasts} ms"));
+    fn pause_side(&mut self, side: usize, duration_ms: u64) {
+        if !self.is_killed(side) {
+            self.log_fault(format!("side {side} paused for {duration_ms} ms"));
             self.deployment.sides[side].signal(SIGSTOP);
-            self.end_after(lasts, End::ResumeSide(side));
+            self.end_after(duration_ms, FaultEnd::ResumeSide(side));
         }
     }
 
-    /// Whether a side was killed and not started again: there is nothing to pause or wake.
-    fn is_gone(&self, side: usize) -> bool {
-        self.ends.iter().any(|(_, end)| matches!(end, End::StartSide(gone) if *gone == side))
+    /// Returns whether a side is killed and not yet restarted, so that it can't be paused or resumed.
+    fn is_killed(&self, side: usize) -> bool {
+        self.pending_ends
+            .iter()
+            .any(|(_, end)| matches!(end, FaultEnd::StartSide(killed) if *killed == side))
     }
 
-    fn write_text(&mut self, what: &str, make: impl FnOnce(u64) -> Vec<u8>) {
+    fn write_config(&mut self, what: &str, make: impl FnOnce(u64) -> Vec<u8>) {
         self.version += 3;
         let version = self.version;
-        self.tell(format!("{what}, version {version}"));
+        self.log_fault(format!("{what}, version {version}"));
         self.deployment.store.put("op", "config", Some(make(version)));
         if self.rng.random_bool(0.3) {
-            self.tell("the store forgets its history".to_owned());
+            self.log_fault("the store drops its history".to_owned());
             self.deployment.store.forget();
         }
     }
 
-    fn end_after(&mut self, ms: u64, end: End) {
-        self.ends.push((Instant::now() + Duration::from_millis(ms), end));
+    fn end_after(&mut self, ms: u64, end: FaultEnd) {
+        self.pending_ends.push((Instant::now() + Duration::from_millis(ms), end));
     }
 
-    /// Lets time pass; ends what is due.
-    fn rest(&mut self, ms: u64) {
-        let until = Instant::now() + Duration::from_millis(ms);
+    /// Waits, while it ends faults that are due and restarts stopped entries.
+    fn advance(&mut self, ms: u64) {
+        let deadline = Instant::now() + Duration::from_millis(ms);
         loop {
             self.end_due();
             self.start_stopped();
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return;
             }
             thread::sleep(Duration::from_millis(10));
@@ -254,24 +259,26 @@
 
     fn end_due(&mut self) {
         let now = Instant::now();
-        let due = self.ends.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>();
+        let due = self.pending_ends.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>();
         for (_, end) in due {
             match end {
-                End::ResumeEntry(entry) => {
+                FaultEnd::ResumeEntry(entry) => {
                     self.entry(entry).signal(SIGCONT);
-                    self.points[entry].disturbed.end();
+                    self.entry_points[entry].disturbances.end();
                 }
-                End::ResumeSide(side) if self.is_gone(side) => {}
-                End::ResumeSide(side) => self.deployment.sides[side].signal(SIGCONT),
-                End::StartSide(side) => self.deployment.sides[side].start_again(),
-                End::CureWorker(side) => self.deployment.engines[side].set_mode(Mode::Sound),
-                End::CurePath(side) => self.proxies[side].set(Harm::None),
-                End::StoreUp => self.deployment.store.set_outage(None),
+                FaultEnd::ResumeSide(side) if self.is_killed(side) => {}
+                FaultEnd::ResumeSide(side) => self.deployment.sides[side].signal(SIGCONT),
+                FaultEnd::StartSide(side) => self.deployment.sides[side].restart(),
+                FaultEnd::RestoreWorker(side) => {
+                    self.deployment.engines[side].set_mode(Mode::Sound)
+                }
+                FaultEnd::RestoreLink(side) => self.proxies[side].set(Harm::None),
+                FaultEnd::RestoreStore => self.deployment.store.set_outage(None),
             }
         }
     }
 
-    /// Starts entries again whose planned stop has ended.
+    /// Restarts entries whose planned stop has completed.
     fn start_stopped(&mut self) {
         for index in 0..self.stopping.len() {
             if !self.stopping[index] {
@@ -279,44 +286,46 @@
             }
             let Some(status) = self.entry(index).child.try_wait().unwrap() else { continue };
             if status.code() != Some(0) {
-                self.broken.push(format!("a planned stop ended with {:?}", status.code()));
+                self.violations
+                    .push(format!("a planned stop ended with exit code {:?}", status.code()));
             }
             self.stopping[index] = false;
-            self.entry(index).start_again();
+            self.entry(index).restart();
         }
     }
 
-    fn tell(&mut self, what: String) {
-        self.story.push(format!("{:>6} ms {what}", self.started.elapsed().as_millis()));
+    fn log_fault(&mut self, what: String) {
+        self.fault_log.push(format!("{:>6} ms {what}", self.started.elapsed().as_millis()));
     }
 
-    /// Whether the last text is in force everywhere now that nothing is harmed, and whether no process
-    /// has gone back to an older one.
-    pub(crate) fn check_texts(&mut self) -> Vec<String> {
+    /// Waits until all processes use the last configuration, now that all faults have ended. Returns an
+    /// entry for each process that does not, or that ever went back to an older version.
+    pub(crate) fn check_configs(&mut self) -> Vec<String> {
         let version = self.version;
-        let others = self.others.iter().map(|entry| &entry.process);
-        let processes = [&self.deployment.entry].into_iter().chain(others);
+        let extra_entries = self.extra_entries.iter().map(|entry| &entry.process);
+        let processes = [&self.deployment.entry].into_iter().chain(extra_entries);
         let processes = processes.chain(&self.deployment.sides).collect::<Vec<_>>();
-        let versions = |process: &Process| process.numbers("event=text ", "version=");
-        let end = Instant::now() + PATIENCE;
+        let versions = |process: &Process| process.logged_numbers("event=text ", "version=");
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let has_last = |process: &&Process| versions(process).last() == Some(&version);
-        while !processes.iter().all(has_last) && Instant::now() < end {
+        while !processes.iter().all(has_last) && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(20));
         }
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for (index, process) in processes.iter().enumerate() {
             let versions = versions(process);
             if versions.last() != Some(&version) {
-                broken.push(format!("process {index} has {versions:?}, not version {version}"));
+                violations.push(format!("process {index} has {versions:?}, not version {version}"));
             }
             if !versions.is_sorted() {
-                broken.push(format!("process {index} went back: {versions:?}"));
+                violations
+                    .push(format!("process {index} went back to an older version: {versions:?}"));
             }
         }
-        broken
+        violations
     }
 
-    /// How often each request ran, over all workers.
+    /// Returns how often each request ran, over all workers.
     pub(crate) fn ran(&self) -> BTreeMap<String, usize> {
         let workers = self.deployment.engines.iter().chain([&self.deployment.ledger]);
         let mut ran = BTreeMap::new();
@@ -326,10 +335,10 @@
         ran
     }
 
-    /// What workers saw to be broken.
+    /// Returns violations that workers detected, and failed planned stops.
     pub(crate) fn check_workers(&self) -> Vec<String> {
-        let mut broken = self.broken.clone();
-        broken.extend(self.deployment.engines.iter().flat_map(|worker| worker.broken()));
-        broken
+        let mut violations = self.violations.clone();
+        violations.extend(self.deployment.engines.iter().flat_map(|worker| worker.broken()));
+        violations
     }
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,11 +1,11 @@
-//! A randomized soak: the real programs as processes of their own, harmed from outside, and checked
-//! by what callers, workers and operators see.
+//! Randomized soak test: runs the real programs as separate processes, injects faults from outside, and
+//! checks what callers, workers and operators observe.
 //!
-//! `cargo test --test soak` plays the seeds below. `CITRONRILL_SOAK=FIRST:COUNT cargo test --release
-//! --test soak` plays others, and prints what each did; `CITRONRILL_SOAK_SIZE=SIDES:ENTRIES` sets how
-//! many processes there are. A seed that ever failed is kept below with a line on its cause. Each run
-//! takes some ten seconds and, with the usual size, nine processes on loopback; it ends only processes
-//! that it started.
+//! `cargo test --test soak` runs the seeds below. `CITRONRILL_SOAK=FIRST:COUNT cargo test --release
+//! --test soak` runs others and prints a summary of each; `CITRONRILL_SOAK_SIZE=SIDES:ENTRIES` sets the
+//! number of processes. A seed that has failed stays in the list with a line on its cause. A run takes
+//! about ten seconds and, with the default size, nine processes on loopback; it ends only processes that
+//! it started.
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
@@ -31,23 +31,23 @@
     support::Deployment,
 };
 
-/// Seeds that CI plays.
+/// Seeds that CI runs.
 const SEEDS: [u64; 4] = [1, 2, 3, 4];
-/// Callers at once for each entry; every other one keeps its connection.
-const CALLERS: u64 = 4;
+/// Concurrent callers of each entry; half of them keep their connection.
+const CALLERS_PER_ENTRY: u64 = 4;
 
-/// How many processes a run has.
+/// Number of processes in a run.
 #[derive(Debug, Clone, Copy)]
 struct Size {
     sides: usize,
     entries: usize,
 }
 
-/// A few of each, as today's smallest deployments.
-const USUAL: Size = Size { sides: 3, entries: 2 };
+/// Size of a minimal deployment.
+const DEFAULT_SIZE: Size = Size { sides: 3, entries: 2 };
 
 #[test]
-fn promises_hold_under_faults() {
+fn guarantees_hold_under_faults() {
     let seeds = match std::env::var("CITRONRILL_SOAK") {
         Ok(range) => parse(&range, |first, count| (first..first + count).collect()),
         Err(_) => SEEDS.to_vec(),
@@ -56,27 +56,27 @@
         Ok(size) => {
             parse(&size, |sides, entries| Size { sides: sides as usize, entries: entries as usize })
         }
-        Err(_) => USUAL,
+        Err(_) => DEFAULT_SIZE,
     };
     let mut failed = Vec::new();
     for seed in seeds {
-        let (broken, story) = play(seed, size);
-        if !broken.is_empty() {
-            println!("seed {seed}:\n{}\n{}", story.join("\n"), broken.join("\n"));
+        let (violations, fault_log) = run_seed(seed, size);
+        if !violations.is_empty() {
+            println!("seed {seed}:\n{}\n{}", fault_log.join("\n"), violations.join("\n"));
             failed.push(seed);
         }
     }
-    assert!(failed.is_empty(), "promises were broken with seeds {failed:?}");
+    assert!(failed.is_empty(), "guarantees were violated with seeds {failed:?}");
 }
 
-/// Reads two numbers.
+/// Parses two numbers separated by a colon.
 fn parse<T>(pair: &str, make: impl FnOnce(u64, u64) -> T) -> T {
     let (first, second) = pair.split_once(':').unwrap();
     make(first.parse().unwrap(), second.parse().unwrap())
 }
 
-/// Plays one seed; gives what was broken, and what was done.
-fn play(seed: u64, size: Size) -> (Vec<String>, Vec<String>) {
+/// Runs one seed; returns the violations and the injected faults.
+fn run_seed(seed: u64, size: Size) -> (Vec<String>, Vec<String>) {
     const MODELS: [&[&str]; 3] = [&["m0", "m1"], &["m0", "m2"], &["m3"]];
     let engine = |index: usize| {
         let name: &'static str = format!("e{}", index + 1).leak();
@@ -86,8 +86,8 @@
     let mut harness = Harness::new(deployment, size.entries, SmallRng::seed_from_u64(seed));
     let stop = Arc::new(AtomicBool::new(false));
     let records = Arc::new(Mutex::new(Vec::<Record>::new()));
-    let entries = harness.callers();
-    let callers = (0..CALLERS * entries.len() as u64).map(|index| {
+    let entries = harness.entry_points();
+    let callers = (0..CALLERS_PER_ENTRY * entries.len() as u64).map(|index| {
         let entry = entries[index as usize % entries.len()].clone();
         let caller = Caller::new(seed, index, entry);
         let (stop, records) = (stop.clone(), records.clone());
@@ -99,18 +99,18 @@
     for caller in callers {
         caller.join().unwrap();
     }
-    let mut broken = harness.check_texts();
-    broken.extend(harness.check_workers());
+    let mut violations = harness.check_configs();
+    violations.extend(harness.check_workers());
     let records = records.lock().unwrap();
-    broken.extend(records.iter().filter_map(|record| record.check(&harness.ran())));
+    violations.extend(records.iter().filter_map(|record| record.violation(&harness.ran())));
     let served = records.iter().filter(|record| record.served()).count();
-    let mut story = harness.story();
-    story.push(format!("{} requests, {served} served whole", records.len()));
+    let mut fault_log = harness.fault_log();
+    fault_log.push(format!("{} requests, {served} served completely", records.len()));
     if served == 0 {
-        broken.push("nothing was served".to_owned());
+        violations.push("nothing was served".to_owned());
     }
     let mut statuses = BTreeMap::<u16, usize>::new();
     records.iter().for_each(|record| *statuses.entry(record.status).or_default() += 1);
-    println!("seed {seed}: {} requests, {served} served whole; {statuses:?}", records.len());
-    (broken, story)
+    println!("seed {seed}: {} requests, {served} served completely; {statuses:?}", records.len());
+    (violations, fault_log)
 }
