--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -1,4 +1,4 @@
-//! A toy engine on virtual time.
+//! A simulated engine on virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,12 +10,12 @@
 
 use crate::world::cached;
 
-/// Models whose weights stay in the host's memory.
-const RAM_CACHE: usize = 6;
+/// Number of models whose weights stay cached in RAM.
+const RAM_CACHE_MODELS: usize = 6;
 
-/// An order to load, as it reaches the engine.
+/// A load order as received by the engine.
 #[derive(Debug, Clone)]
-pub(crate) struct LoadStart {
+pub(crate) struct LoadOrder {
     pub(crate) order: u64,
     pub(crate) model: String,
     pub(crate) base: String,
@@ -25,17 +25,17 @@
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct ModelState {
     order: u64,
     ready: bool,
     adapter: bool,
     remote: bool,
-    fails: bool,
+    will_fail: bool,
     memory_mb: u64,
     loaded_mb: u64,
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) memory_mb: u64,
@@ -45,7 +45,7 @@
     pub(crate) remote_loads: u64,
     pub(crate) disk: BTreeSet<String>,
     fence: u64,
-    held: BTreeMap<String, Held>,
+    models: BTreeMap<String, ModelState>,
     ram: Vec<String>,
     calls: Map<CallId, String>,
 }
@@ -60,21 +60,21 @@
             remote_loads: 0,
             disk: BTreeSet::new(),
             fence: 0,
-            held: BTreeMap::new(),
+            models: BTreeMap::new(),
             ram: Vec::new(),
             calls: Map::default(),
         }
     }
 
-    /// Ends with its instance.
-    pub(crate) fn lose(&mut self) {
+    /// Terminates the engine together with its instance.
+    pub(crate) fn terminate(&mut self) {
         self.restart();
         self.alive = false;
     }
 
-    /// Starts again with nothing loaded; what is on disk stays.
+    /// Restarts the engine with no models loaded; the disk cache stays.
     pub(crate) fn restart(&mut self) {
-        self.held.clear();
+        self.models.clear();
         self.ram.clear();
         self.calls.clear();
         self.remote_loads = 0;
@@ -82,25 +82,25 @@
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.models.is_empty()
     }
 
-    /// Models that it holds, with their memory in MB.
-    pub(crate) fn held(&self) -> impl Iterator<Item = (&str, u64)> {
-        self.held.iter().map(|(model, held)| (model.as_str(), held.memory_mb))
+    /// Returns the loaded and loading models, with their memory in MB.
+    pub(crate) fn models(&self) -> impl Iterator<Item = (&str, u64)> {
+        self.models.iter().map(|(model, state)| (model.as_str(), state.memory_mb))
     }
 
     pub(crate) fn used_mb(&self) -> u64 {
-        self.held.values().map(|held| held.memory_mb).sum()
+        self.models.values().map(|state| state.memory_mb).sum()
     }
 
     pub(crate) fn report(&self) -> Vec<HeldModel> {
-        let model = |(model, held): (&String, &Held)| HeldModel {
+        let model = |(model, state): (&String, &ModelState)| HeldModel {
             model: model.clone(),
-            ready: held.ready,
-            memory_mb: held.memory_mb,
+            ready: state.ready,
+            memory_mb: state.memory_mb,
         };
-        self.held.iter().map(model).collect()
+        self.models.iter().map(model).collect()
     }
 
     pub(crate) fn cached(&self) -> Vec<Cached> {
@@ -114,87 +114,90 @@
         if self.disk.contains(model) { Tier::Disk } else { Tier::Remote }
     }
 
-    /// Serving models, adapters not counted, on which nothing runs.
+    /// Returns the number of ready models without running calls, adapters excluded.
     pub(crate) fn idle_bases(&self) -> usize {
-        let bases = self.held.iter().filter(|(_, held)| held.ready && !held.adapter);
+        let bases = self.models.iter().filter(|(_, state)| state.ready && !state.adapter);
         bases.filter(|(model, _)| !self.calls.values().any(|it| it == *model)).count()
     }
 
-    /// Begins a load: whether it runs now and was not running before.
+    /// Begins a load. Returns `false` if the model is already loading or loaded.
     ///
     /// # Errors
-    /// The order is refused; with a violation if it would have overcommitted the memory.
+    /// The order is refused; the error has a violation if the load would overcommit the memory.
     pub(crate) fn begin_load(
         &mut self,
-        order: &LoadStart,
+        order: &LoadOrder,
         tier: Tier,
-        fails: bool,
+        will_fail: bool,
     ) -> Result<bool, Option<String>> {
         if !self.alive || (self.fencing && order.fence < self.fence) {
             return Err(None);
         }
         self.fence = self.fence.max(order.fence);
-        if self.held.contains_key(&order.model) {
+        if self.models.contains_key(&order.model) {
             return Ok(false);
         }
-        if !order.base.is_empty() && !self.held.get(&order.base).is_some_and(|it| it.ready) {
+        if !order.base.is_empty() && !self.models.get(&order.base).is_some_and(|it| it.ready) {
             return Err(None);
         }
         let peak = order.peak_mb.max(order.memory_mb);
         if self.used_mb() + peak > self.memory_mb {
-            let text = format!("{order:?} overcommits: {:?} of {}", self.held, self.memory_mb);
-            return Err(Some(text));
+            let violation = format!(
+                "{order:?} exceeds the memory: {:?} already loaded, {} MB in total",
+                self.models, self.memory_mb
+            );
+            return Err(Some(violation));
         }
         let remote = tier == Tier::Remote;
         self.loads += 1;
         self.remote_loads += u64::from(remote);
-        let held = Held {
+        let state = ModelState {
             order: order.order,
             ready: false,
             adapter: !order.base.is_empty(),
             remote,
-            fails,
+            will_fail,
             memory_mb: peak,
             loaded_mb: order.memory_mb,
         };
-        self.held.insert(order.model.clone(), held);
+        self.models.insert(order.model.clone(), state);
         Ok(true)
     }
 
-    /// A load's time is over; whether the model serves.
+    /// Ends a load. Returns whether the model is ready.
     pub(crate) fn loaded(&mut self, order: u64, model: &str) -> bool {
-        let Some(held) = self.held.get_mut(model).filter(|it| it.order == order) else {
+        let Some(state) = self.models.get_mut(model).filter(|it| it.order == order) else {
             return false;
         };
-        if held.ready {
+        if state.ready {
             return true;
         }
-        self.remote_loads -= u64::from(held.remote);
-        if held.fails {
-            self.held.remove(model);
+        self.remote_loads -= u64::from(state.remote);
+        if state.will_fail {
+            self.models.remove(model);
             return false;
         }
-        held.ready = true;
-        held.memory_mb = held.loaded_mb;
+        state.ready = true;
+        state.memory_mb = state.loaded_mb;
         self.disk.insert(model.to_owned());
         self.ram.retain(|it| it != model);
         self.ram.push(model.to_owned());
-        if self.ram.len() > RAM_CACHE {
+        if self.ram.len() > RAM_CACHE_MODELS {
             self.ram.remove(0);
         }
         true
     }
 
-    /// Unloads a model that serves; a load that runs is not broken off.
+    /// Unloads a ready model; a load in progress is not aborted. Returns whether the model is gone.
     pub(crate) fn unload(&mut self, model: &str, fence: u64) -> bool {
         if !self.alive || (self.fencing && fence < self.fence) {
             return false;
         }
         self.fence = self.fence.max(fence);
-        match self.held.get(model) {
-            Some(held) if !held.ready => false,
+        match self.models.get(model) {
+            Some(state) if !state.ready => false,
             _ => {
-                self.held.remove(model);
+                self.models.remove(model);
                 true
             }
         }
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -1,26 +1,26 @@
-//! Faults of a world.
+//! Injected faults of a simulation.
 
-/// Faults in force. Parts are probabilities from 0 to 1.
+/// Active faults. Values of type `f64` are probabilities from 0 to 1.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// The table answers nothing.
+    /// Whether the table is unavailable.
     pub table_down: bool,
-    /// Extra time of each hop to the table, in milliseconds.
-    pub table_ms: u64,
-    /// Transactions that take effect without a confirmation.
-    pub lost_part: f64,
-    /// Transactions given to a table that is down that take effect later.
-    pub late_part: f64,
-    /// Messages that are lost.
-    pub drop_part: f64,
-    /// Messages that come twice.
-    pub twice_part: f64,
-    /// Messages and orders that are slow.
-    pub slow_part: f64,
-    /// How slow at most, in milliseconds.
-    pub slow_ms: u64,
-    /// Loads that fail at their end.
-    pub load_fails: f64,
-    /// Factor by which the weight store is slowed down.
-    pub weights_slow: u64,
+    /// Extra delay of each message to and from the table, in milliseconds.
+    pub table_delay_ms: u64,
+    /// Transactions that take effect but whose confirmation is lost.
+    pub lost_confirmations: f64,
+    /// Transactions sent to an unavailable table that take effect later.
+    pub late_commits: f64,
+    /// Lost messages.
+    pub dropped_messages: f64,
+    /// Messages delivered twice.
+    pub duplicated_messages: f64,
+    /// Delayed messages and orders.
+    pub delayed_messages: f64,
+    /// Maximum delay of a delayed message, in milliseconds.
+    pub max_delay_ms: u64,
+    /// Loads that fail at the end of their load time.
+    pub failed_loads: f64,
+    /// Slowdown factor of the weight store.
+    pub store_slowdown: u64,
 }
--- a/crates/lab/src/fuzz.rs
+++ b/crates/lab/src/fuzz.rs
@@ -1,88 +1,88 @@
-//! Stateful fuzzing: random actions and faults on a small world, with the oracle after each.
+//! Stateful fuzzing: random actions and faults on a small simulation, checked after each action.
 
 use citronrill_decide::Policies;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 use crate::{
     faults::Faults,
-    oracle::check,
-    world::{World, WorldOptions},
+    oracle::check_invariants,
+    world::{Simulation, SimulationOptions},
 };
 
 const ENTRIES: usize = 3;
 const ENDPOINTS: usize = 4;
 const MODELS: [&str; 8] = ["a0", "a1", "a2", "once", "b0", "b1", "a0-x", "b0-x"];
-/// Idempotency keys, few, so that repeats are common.
-const KEYS: u64 = 5;
-/// Time after the last action in which everything must come to rest, in milliseconds.
-const REST_MS: u64 = 420_000;
+/// Number of idempotency keys; small, so that keys are often reused.
+const IDEMPOTENCY_KEYS: u64 = 5;
+/// Time in which the simulation must recover after the last action, in milliseconds.
+const RECOVERY_MS: u64 = 420_000;
 
-/// Time in which a planned stop comes to its end, in milliseconds.
+/// Time in which a drain must finish, in milliseconds.
 const DRAIN_MS: u64 = 40_000;
 
-/// One thing that happens to the world.
+/// An action on the simulation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Let time pass.
-    Run(u64),
-    /// A request at an entry.
+    /// Advances virtual time, in milliseconds.
+    Advance(u64),
+    /// Sends a request to an entry.
     Request {
         /// The entry.
         entry: usize,
         /// The model.
         model: usize,
-        /// Its deadline, if it has one of its own.
-        deadline: Option<u64>,
-        /// Its idempotency key, if it has one.
-        once: Option<u64>,
+        /// The request's own deadline, if any, in milliseconds.
+        deadline_ms: Option<u64>,
+        /// The request's idempotency key, if any.
+        idempotency_key: Option<u64>,
     },
-    /// Requests for one model at all entries at once.
+    /// Sends several requests for one model to every entry at the same time.
     Burst(usize),
-    /// The table is away for a while.
-    Outage(u64),
-    /// Faults of messages, orders, loads and confirmations.
+    /// Makes the table unavailable for a time, in milliseconds.
+    TableOutage(u64),
+    /// Sets the faults of commits, messages, orders and loads.
     Faults {
-        /// Confirmations that are lost, in percent.
-        lost: u8,
-        /// Messages that are lost, in percent.
-        dropped: u8,
-        /// Messages that come twice, in percent.
-        twice: u8,
-        /// Messages and orders that are slow, in percent.
-        slow: u8,
-        /// Loads that fail, in percent.
-        fails: u8,
+        /// Lost confirmations of commits, in percent.
+        lost_confirmations: u8,
+        /// Lost messages, in percent.
+        dropped_messages: u8,
+        /// Messages delivered twice, in percent.
+        duplicated_messages: u8,
+        /// Delayed messages and orders, in percent.
+        delayed_messages: u8,
+        /// Failed loads, in percent.
+        failed_loads: u8,
     },
-    /// All faults end.
-    Calm,
-    /// An entry dies.
+    /// Clears all faults except a table outage.
+    ClearFaults,
+    /// Kills an entry.
     KillEntry(usize),
-    /// A dead entry starts again.
+    /// Restarts a killed entry.
     RestartEntry(usize),
-    /// A side dies, and its engine goes on.
+    /// Kills the sides of an endpoint; the engine keeps running.
     KillSide(usize),
-    /// A side starts, perhaps beside its predecessor.
+    /// Starts a side, even if its predecessor is still running.
     StartSide(usize),
-    /// A side is paused.
+    /// Pauses the sides of an endpoint for a time, in milliseconds.
     PauseSide(usize, u64),
-    /// A side is paused and a successor starts meanwhile.
+    /// Pauses the sides of an endpoint and starts a successor.
     ReplacePaused(usize, u64),
-    /// An entry is paused.
+    /// Pauses an entry for a time, in milliseconds.
     PauseEntry(usize, u64),
-    /// An engine is restarted with nothing loaded.
+    /// Restarts an engine with no models loaded.
     RestartEngine(usize),
-    /// An instance is taken away.
+    /// Removes an endpoint's instance.
     KillEndpoint(usize),
-    /// A side is stopped in a planned way.
+    /// Drains the sides of an endpoint, with or without giving the endpoint back.
     DrainSide(usize, bool),
-    /// An entry is stopped in a planned way.
+    /// Drains an entry.
     DrainEntry(usize),
-    /// A new text is accepted.
-    Apply,
+    /// Applies a new configuration.
+    ApplyConfig,
 }
 
 impl Action {
-    /// A random action.
+    /// Returns a random action.
     pub fn random(rng: &mut SmallRng) -> Action {
         let entry = rng.random_range(0..ENTRIES);
         let side = rng.random_range(0..ENDPOINTS);
@@ -91,21 +91,23 @@
             0..30 => Action::Request {
                 entry,
                 model,
-                deadline: rng.random_bool(0.4).then(|| rng.random_range(1..8_000)),
-                once: rng.random_bool(0.4).then(|| rng.random_range(0..KEYS)),
+                deadline_ms: rng.random_bool(0.4).then(|| rng.random_range(1..8_000)),
+                idempotency_key: rng
+                    .random_bool(0.4)
+                    .then(|| rng.random_range(0..IDEMPOTENCY_KEYS)),
             },
             30..36 => Action::Burst(model),
-            36..66 => Action::Run(rng.random_range(1..4_000)),
-            66..69 => Action::Run(rng.random_range(4_000..60_000)),
-            69..72 => Action::Outage(rng.random_range(10..30_000)),
+            36..66 => Action::Advance(rng.random_range(1..4_000)),
+            66..69 => Action::Advance(rng.random_range(4_000..60_000)),
+            69..72 => Action::TableOutage(rng.random_range(10..30_000)),
             72..76 => Action::Faults {
-                lost: rng.random_range(0..40),
-                dropped: rng.random_range(0..25),
-                twice: rng.random_range(0..30),
-                slow: rng.random_range(0..30),
-                fails: rng.random_range(0..40),
+                lost_confirmations: rng.random_range(0..40),
+                dropped_messages: rng.random_range(0..25),
+                duplicated_messages: rng.random_range(0..30),
+                delayed_messages: rng.random_range(0..30),
+                failed_loads: rng.random_range(0..40),
             },
-            76..78 => Action::Calm,
+            76..78 => Action::ClearFaults,
             78..80 => Action::KillEntry(entry),
             80..83 => Action::RestartEntry(entry),
             83..86 => Action::KillSide(side),
@@ -120,73 +122,83 @@
                 1 => Action::DrainSide(side, false),
                 _ => Action::DrainEntry(entry),
             },
-            _ => Action::Apply,
+            _ => Action::ApplyConfig,
         }
     }
 
-    /// Carries the action out.
-    pub fn carry_out(&self, world: &mut World) {
+    /// Executes the action.
+    pub fn execute(&self, sim: &mut Simulation) {
         match *self {
-            Action::Run(millis) => world.run(millis),
-            Action::Request { entry, model, deadline, once } => {
-                world.request(entry, MODELS[model], deadline, once);
+            Action::Advance(millis) => sim.advance(millis),
+            Action::Request { entry, model, deadline_ms, idempotency_key } => {
+                sim.request(entry, MODELS[model], deadline_ms, idempotency_key);
             }
             Action::Burst(model) => {
                 for entry in 0..ENTRIES {
                     for _ in 0..3 {
-                        world.request(entry, MODELS[model], None, None);
+                        sim.request(entry, MODELS[model], None, None);
                     }
                 }
             }
-            Action::Outage(millis) => world.table_outage(millis),
-            Action::Faults { lost, dropped, twice, slow, fails } => {
-                let part = |percent: u8| f64::from(percent) / 100.0;
-                world.faults = Faults {
-                    table_down: world.faults.table_down,
-                    lost_part: part(lost),
-                    late_part: part(lost),
-                    drop_part: part(dropped),
-                    twice_part: part(twice),
-                    slow_part: part(slow),
-                    slow_ms: 1_500,
-                    load_fails: part(fails),
+            Action::TableOutage(millis) => sim.table_outage(millis),
+            Action::Faults {
+                lost_confirmations,
+                dropped_messages,
+                duplicated_messages,
+                delayed_messages,
+                failed_loads,
+            } => {
+                let fraction = |percent: u8| f64::from(percent) / 100.0;
+                sim.faults = Faults {
+                    table_down: sim.faults.table_down,
+                    lost_confirmations: fraction(lost_confirmations),
+                    late_commits: fraction(lost_confirmations),
+                    dropped_messages: fraction(dropped_messages),
+                    duplicated_messages: fraction(duplicated_messages),
+                    delayed_messages: fraction(delayed_messages),
+                    max_delay_ms: 1_500,
+                    failed_loads: fraction(failed_loads),
                     ..Faults::default()
                 };
             }
-            Action::Calm => {
-                let table_down = world.faults.table_down;
-                world.faults = Faults { table_down, ..Faults::default() };
+            Action::ClearFaults => {
+                let table_down = sim.faults.table_down;
+                sim.faults = Faults { table_down, ..Faults::default() };
             }
-            Action::KillEntry(entry) => world.kill_entry(entry),
-            Action::RestartEntry(entry) => world.restart_entry(entry),
-            Action::KillSide(endpoint) => world.kill_sides(endpoint),
-            Action::StartSide(endpoint) => start_side(world, endpoint),
-            Action::PauseSide(endpoint, millis) => world.pause_sides(endpoint, millis),
+            Action::KillEntry(entry) => sim.kill_entry(entry),
+            Action::RestartEntry(entry) => sim.restart_entry(entry),
+            Action::KillSide(endpoint) => sim.kill_sides(endpoint),
+            Action::StartSide(endpoint) => start_side(sim, endpoint),
+            Action::PauseSide(endpoint, millis) => sim.pause_sides(endpoint, millis),
             Action::ReplacePaused(endpoint, millis) => {
-                world.pause_sides(endpoint, millis);
-                start_side(world, endpoint);
+                sim.pause_sides(endpoint, millis);
+                start_side(sim, endpoint);
             }
-            Action::PauseEntry(entry, millis) => world.pause_entry(entry, millis),
-            Action::RestartEngine(endpoint) => world.restart_engine(endpoint),
-            Action::KillEndpoint(endpoint) => world.kill_endpoint(endpoint),
-            Action::DrainSide(endpoint, give_back) => world.drain_endpoint(endpoint, give_back),
-            Action::DrainEntry(entry) => world.drain_entry(entry),
-            Action::Apply => {
-                let note = world.now();
-                world.apply(&format!("{}; {note}\n[endpoint e{note}]\n", fuzz_text()));
+            Action::PauseEntry(entry, millis) => sim.pause_entry(entry, millis),
+            Action::RestartEngine(endpoint) => sim.restart_engine(endpoint),
+            Action::KillEndpoint(endpoint) => sim.kill_endpoint(endpoint),
+            Action::DrainSide(endpoint, give_back) => sim.drain_endpoint(endpoint, give_back),
+            Action::DrainEntry(entry) => sim.drain_entry(entry),
+            Action::ApplyConfig => {
+                let timestamp = sim.now();
+                sim.apply_config(&format!(
+                    "{}; {timestamp}\n[endpoint e{timestamp}]\n",
+                    fuzz_config()
+                ));
             }
         }
     }
 }
 
-fn start_side(world: &mut World, endpoint: usize) {
-    if world.living_endpoints().contains(&endpoint) {
-        world.start_side(endpoint);
+fn start_side(sim: &mut Simulation, endpoint: usize) {
+    if sim.running_endpoints().contains(&endpoint) {
+        sim.start_side(endpoint);
     }
 }
 
-/// A text with two organisations, tight shares, adapters and a service that may not be repeated.
-pub fn fuzz_text() -> String {
+/// Returns a configuration with two organisations, small shares, adapters and a service whose
+/// requests must not be retried.
+pub fn fuzz_config() -> String {
     "[pool]\nloads_second = 4\nloads_once = 2\n\
      [organisation north]\nshare_mb = 260\ncold_weight = 20\n\
      [organisation south]\nshare_mb = 150\n\
@@ -204,106 +216,113 @@
         .to_owned()
 }
 
-/// A world for fuzzing.
-pub fn fuzz_world(seed: u64) -> World {
-    World::new(WorldOptions {
+/// Returns the simulation for fuzzing.
+pub fn fuzz_simulation(seed: u64) -> Simulation {
+    Simulation::new(SimulationOptions {
         seed,
-        text: fuzz_text(),
+        config: fuzz_config(),
         entries: ENTRIES,
         endpoints: vec![(100, true), (120, false), (160, false), (100, false)],
         zones: vec!["za".to_owned(), "zb".to_owned()],
         slots: 4,
-        ticks: (50, 100),
+        tick_ms: (50, 100),
         policies: Policies::default,
-        keep_calls: true,
+        keep_finished: true,
     })
 }
 
-/// What a fuzzing run found.
+/// Result of a fuzzing run.
 #[derive(Debug, Default)]
 pub struct FuzzReport {
-    /// Events that reducers took.
+    /// Number of events processed by reducers.
     pub steps: u64,
-    /// Requests made.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Requests answered whole or with a first answer.
+    /// Number of requests answered completely, or with the stored answer of an idempotency key.
     pub answered: u64,
-    /// What was violated, with the number of the action after which it was seen.
+    /// Violations, with the index of the action after which they were detected.
     pub violation: Option<(usize, Vec<String>)>,
 }
 
-/// Carries out `actions` on a new world, checking after each, and lets it come to rest.
+/// Executes `actions` on a new simulation, checks the invariants after each, and then checks that
+/// the simulation recovers.
 pub fn fuzz(seed: u64, actions: &[Action]) -> FuzzReport {
-    let mut world = fuzz_world(seed);
-    world.run(2_000);
+    let mut sim = fuzz_simulation(seed);
+    sim.advance(2_000);
     let mut report = FuzzReport::default();
     for (index, action) in actions.iter().enumerate() {
-        action.carry_out(&mut world);
-        let wrong = check(&world);
-        if !wrong.is_empty() {
-            report.violation = Some((index, wrong));
+        action.execute(&mut sim);
+        let violations = check_invariants(&sim);
+        if !violations.is_empty() {
+            report.violation = Some((index, violations));
             break;
         }
     }
     if report.violation.is_none() {
-        let wrong = rest(&mut world);
-        report.violation = (!wrong.is_empty()).then_some((actions.len(), wrong));
+        let violations = check_recovery(&mut sim);
+        report.violation = (!violations.is_empty()).then_some((actions.len(), violations));
     }
-    report.steps = world.steps;
-    report.requests = world.callers.len() as u64;
-    let whole = world.callers.values().filter(|caller| {
-        matches!(caller.ended, Some((_, crate::Ending::Whole | crate::Ending::Replayed)))
+    report.steps = sim.steps;
+    report.requests = sim.requests.len() as u64;
+    let completed = sim.requests.values().filter(|request| {
+        matches!(
+            request.ended,
+            Some((_, crate::RequestOutcome::Completed | crate::RequestOutcome::Replayed))
+        )
     });
-    report.answered = whole.count() as u64;
+    report.answered = completed.count() as u64;
     report
 }
 
-/// Ends all faults, replaces what is dead, and checks that everything is well again.
-fn rest(world: &mut World) -> Vec<String> {
-    world.faults = Faults::default();
-    // Planned stops that are under way come to their end first.
-    world.run(DRAIN_MS);
+/// Clears all faults, restarts killed processes, and checks that the simulation recovers.
+fn check_recovery(sim: &mut Simulation) -> Vec<String> {
+    sim.faults = Faults::default();
+    // Drains in progress must finish first.
+    sim.advance(DRAIN_MS);
     for entry in 0..ENTRIES {
-        world.restart_entry(entry);
+        sim.restart_entry(entry);
     }
-    for endpoint in world.living_endpoints() {
-        if !world.has_side(endpoint) {
-            world.start_side(endpoint);
+    for endpoint in sim.running_endpoints() {
+        if !sim.has_side(endpoint) {
+            sim.start_side(endpoint);
         }
     }
-    world.run(REST_MS);
-    let mut wrong = check(world);
-    let open = world.callers.values().filter(|caller| {
-        let (entry, life) = caller.entry;
-        caller.ended.is_none() && world.entry_is(entry, life)
+    sim.advance(RECOVERY_MS);
+    let mut violations = check_invariants(sim);
+    let open = sim.requests.values().filter(|request| {
+        let (entry, incarnation) = request.entry;
+        request.ended.is_none() && sim.entry_has_incarnation(entry, incarnation)
     });
     let open = open.count();
     if open > 0 {
-        wrong.push(format!("{open} requests have no answer after {REST_MS} ms of rest"));
+        violations
+            .push(format!("{open} requests have no answer {RECOVERY_MS} ms after the last fault"));
     }
-    wrong.extend(serves_again(world));
-    wrong
+    violations.extend(check_all_served(sim));
+    violations
 }
 
-/// Whether a request for each model is served once all faults are over.
-fn serves_again(world: &mut World) -> Vec<String> {
-    if world.living_endpoints().len() < ENDPOINTS {
+/// Checks that each model is served after recovery.
+///
+/// Does nothing if an endpoint was removed.
+fn check_all_served(sim: &mut Simulation) -> Vec<String> {
+    if sim.running_endpoints().len() < ENDPOINTS {
         return Vec::new();
     }
-    let mut wrong = Vec::new();
+    let mut violations = Vec::new();
     for model in MODELS {
-        let id = world.request(0, model, None, None);
-        world.run(25_000);
-        let ended = id.and_then(|id| world.callers.get(&id)).and_then(|caller| caller.ended);
-        if !matches!(ended, Some((_, crate::Ending::Whole))) {
-            wrong.push(format!("after the rest, {model} gave {ended:?}"));
+        let id = sim.request(0, model, None, None);
+        sim.advance(25_000);
+        let ended = id.and_then(|id| sim.requests.get(&id)).and_then(|request| request.ended);
+        if !matches!(ended, Some((_, crate::RequestOutcome::Completed))) {
+            violations.push(format!("after recovery, a request for {model} ended with {ended:?}"));
         }
     }
-    wrong.extend(check(world));
-    wrong
+    violations.extend(check_invariants(sim));
+    violations
 }
 
-/// Random actions from one seed.
+/// Returns `count` random actions derived from `seed`.
 pub fn random_actions(seed: u64, count: usize) -> Vec<Action> {
     let mut rng = SmallRng::seed_from_u64(seed);
     (0..count).map(|_| Action::random(&mut rng)).collect()
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,9 +1,8 @@
-//! Experiments and proofs over the reducers, on virtual time.
+//! Fuzzing, replay and scale measurements of the reducers on virtual time.
 //!
-//! This crate exists so that the decisions can be judged without processes and sockets: a handful of
-//! reducers, a table in memory, toy engines, faults, and an oracle that knows what must always hold.
-//! It is no cluster simulator: it has no network, no queues of its own and no model of an engine's
-//! speed beyond load times.
+//! The reducers run without processes and sockets, against an in-memory table, simulated engines and
+//! injected faults; an oracle checks the invariants. This is not a cluster simulator: it has no
+//! network, no queues of its own and no model of an engine's speed except load times.
 
 mod engine;
 mod faults;
@@ -18,15 +17,18 @@
 
 pub use crate::{
     faults::Faults,
-    fuzz::{Action, FuzzReport, fuzz, fuzz_text, fuzz_world, random_actions},
-    oracle::{GRACE_MS, check},
+    fuzz::{Action, FuzzReport, fuzz, fuzz_config, fuzz_simulation, random_actions},
+    oracle::{GRACE_MS, check_invariants},
     replay::{FIXED_LONG, FIXED_MIDDLE, FIXED_SHORT, NAIVE, OURS, ReplayReport, Rules, replay},
     scale::{PLAN, ScaleReport, Size, scale},
     traces::{Deployment, LITORAL, TraceRequest, VIENNA, WORKER_MB},
-    world::{Caller, Ending, Meters, Operations, World, WorldOptions, world_key},
+    world::{
+        Meters, Operations, RequestOutcome, RequestRecord, Simulation, SimulationOptions,
+        test_api_key,
+    },
 };
 
-/// Why an experiment failed.
+/// Error of an experiment.
 #[derive(Debug, Error)]
 pub enum LabError {
     /// A file could not be written.
@@ -34,7 +36,7 @@
     File {
         /// The file.
         file: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A plot could not be drawn.
@@ -42,7 +44,7 @@
     Plot {
         /// The file.
         file: String,
-        /// What the library said.
+        /// Error of the plotting library.
         reason: String,
     },
 }
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked against the table, the engines and the callers.
+//! Invariants, checked against the table, the engines and the requests.
 
 use std::collections::BTreeMap;
 
@@ -7,90 +7,103 @@
     EndpointRow, ModelRow, Phase, RowKind, ShareRow, WeightsRow, decode, row_kind,
 };
 
-use crate::world::World;
+use crate::world::Simulation;
 
-/// Time that a request's final answer may come after its deadline, in milliseconds: the grace in
-/// which a side may say whether the call ran, two ticks, and the hops.
+/// Maximum time from a request's deadline to its final answer, in milliseconds: the grace period in
+/// which a side may report whether the call ran, two ticks, and the network delays.
 pub const GRACE_MS: u64 = 900;
 
-/// What the table says, decoded.
+/// Decoded rows of the table.
 #[derive(Debug, Default)]
-struct Books {
+struct TableState {
     endpoints: BTreeMap<String, EndpointRow>,
     models: BTreeMap<String, ModelRow>,
     shares: BTreeMap<String, (u64, i64)>,
     weights: WeightsRow,
 }
 
-impl Books {
-    fn read(rows: &[Row]) -> Books {
-        let mut books = Books::default();
+impl TableState {
+    fn read(rows: &[Row]) -> TableState {
+        let mut state = TableState::default();
         for row in rows {
             match row_kind(&row.key) {
                 RowKind::Endpoint(name) => {
-                    books.endpoints.extend(decode(&row.body).map(|it| (name.to_owned(), it)));
+                    state.endpoints.extend(decode(&row.body).map(|it| (name.to_owned(), it)));
                 }
                 RowKind::Model(name) => {
-                    books.models.extend(decode(&row.body).map(|it| (name.to_owned(), it)));
+                    state.models.extend(decode(&row.body).map(|it| (name.to_owned(), it)));
                 }
                 RowKind::Share(org, _) => {
                     let share = decode::<ShareRow>(&row.body).unwrap_or_default();
-                    let total = books.shares.entry(org.to_owned()).or_default();
+                    let total = state.shares.entry(org.to_owned()).or_default();
                     total.0 += share.used_mb;
                     total.1 += share.balance_mb;
                 }
-                RowKind::Weights => books.weights = decode(&row.body).unwrap_or_default(),
+                RowKind::Weights => state.weights = decode(&row.body).unwrap_or_default(),
                 _ => {}
             }
         }
-        books
+        state
     }
 }
 
-/// Checks everything; gives what is wrong.
-pub fn check(world: &World) -> Vec<String> {
-    let books = Books::read(&world.rows());
-    let mut wrong = world.violations.clone();
-    check_ledgers(world, &books, &mut wrong);
-    check_engines(world, &books, &mut wrong);
-    check_models(world, &books, &mut wrong);
-    check_shares(world, &books, &mut wrong);
-    check_permits(world, &books, &mut wrong);
-    check_deadlines(world, &mut wrong);
-    wrong
+/// Checks all invariants and returns the violations.
+pub fn check_invariants(sim: &Simulation) -> Vec<String> {
+    let state = TableState::read(&sim.rows());
+    let mut violations = sim.violations.clone();
+    check_ledgers(sim, &state, &mut violations);
+    check_engines(sim, &state, &mut violations);
+    check_models(sim, &state, &mut violations);
+    check_shares(sim, &state, &mut violations);
+    check_permits(sim, &state, &mut violations);
+    check_deadlines(sim, &mut violations);
+    violations
 }
 
-fn check_ledgers(_: &World, books: &Books, wrong: &mut Vec<String>) {
-    for (name, row) in &books.endpoints {
+fn check_ledgers(_: &Simulation, state: &TableState, violations: &mut Vec<String>) {
+    for (name, row) in &state.endpoints {
         if row.held_mb() > row.memory_mb {
-            wrong.push(format!("{name}'s ledger holds {} of {}", row.held_mb(), row.memory_mb));
+            violations.push(format!(
+                "the ledger of {name} holds {} MB of {} MB",
+                row.held_mb(),
+                row.memory_mb
+            ));
         }
         for replica in &row.replicas {
-            let copies = row.replicas.iter().filter(|it| it.model == replica.model).count();
-            if copies > 1 {
-                wrong.push(format!("{name} has {copies} replicas of {}", replica.model));
+            let count = row.replicas.iter().filter(|it| it.model == replica.model).count();
+            if count > 1 {
+                violations.push(format!("{name} has {count} replicas of {}", replica.model));
             }
             let base = row.replica(&replica.base);
             let loaded = replica.phase() == Phase::Ready;
             if !replica.base.is_empty() && loaded && base.is_none() {
-                wrong.push(format!("{name} serves {} without its base", replica.model));
+                violations.push(format!(
+                    "{name} has adapter {} ready without its base model",
+                    replica.model
+                ));
             }
         }
     }
 }
 
-fn check_engines(world: &World, books: &Books, wrong: &mut Vec<String>) {
-    for (index, engine) in world.engines.iter().enumerate().filter(|(_, it)| it.alive) {
+fn check_engines(sim: &Simulation, state: &TableState, violations: &mut Vec<String>) {
+    for (index, engine) in sim.engines.iter().enumerate().filter(|(_, it)| it.alive) {
         let name = format!("worker-{index}");
         if engine.used_mb() > engine.memory_mb {
-            wrong.push(format!("{name} uses {} of {}", engine.used_mb(), engine.memory_mb));
+            violations.push(format!(
+                "{name} uses {} MB of {} MB",
+                engine.used_mb(),
+                engine.memory_mb
+            ));
         }
-        for (model, memory_mb) in engine.held() {
-            let row = books.endpoints.get(&name).and_then(|row| row.replica(model));
+        for (model, memory_mb) in engine.models() {
+            let row = state.endpoints.get(&name).and_then(|row| row.replica(model));
             match row {
-                None => wrong.push(format!("{name} holds {model}, which was not decided")),
-                Some(replica) if replica.held_mb() < memory_mb => wrong.push(format!(
-                    "{name} holds {model} in {memory_mb}, the ledger has {} ({:?})",
+                None => {
+                    violations.push(format!("{name} holds {model}, which is not in its ledger"))
+                }
+                Some(replica) if replica.held_mb() < memory_mb => violations.push(format!(
+                    "{name} holds {model} in {memory_mb} MB, the ledger has {} MB ({:?})",
                     replica.held_mb(),
                     replica.phase()
                 )),
@@ -100,79 +113,85 @@
     }
 }
 
-fn check_models(world: &World, books: &Books, wrong: &mut Vec<String>) {
+fn check_models(sim: &Simulation, state: &TableState, violations: &mut Vec<String>) {
     let mut counts: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-    for (endpoint, row) in &books.endpoints {
+    for (endpoint, row) in &state.endpoints {
         for replica in &row.replicas {
             counts.entry(&replica.model).or_default().push(endpoint);
         }
     }
-    for (model, row) in &books.models {
+    for (model, row) in &state.models {
         let mut holders = row.holders.iter().map(String::as_str).collect::<Vec<_>>();
         holders.sort_unstable();
         let found = counts.remove(model.as_str()).unwrap_or_default();
         if holders != found {
-            wrong.push(format!("{model}: its row has {holders:?}, the ledgers {found:?}"));
+            violations.push(format!(
+                "{model}: the model row has holders {holders:?}, the ledgers have {found:?}"
+            ));
         }
-        let key = world.registry.models.get(model);
-        let limit = key.and_then(|key| world.catalogue.models.get(&key)).map(|it| it.replicas);
+        let key = sim.registry.models.get(model);
+        let limit = key.and_then(|key| sim.catalogue.models.get(&key)).map(|it| it.replicas);
         if limit.is_some_and(|limit| found.len() as u64 > limit) {
-            wrong.push(format!("{model} has {} replicas of {limit:?}", found.len()));
+            violations
+                .push(format!("{model} has {} replicas, the limit is {limit:?}", found.len()));
         }
     }
     for (model, found) in counts {
-        wrong.push(format!("{model} is in ledgers {found:?} and has no row"));
+        violations.push(format!("{model} is in the ledgers of {found:?} but has no model row"));
     }
 }
 
-fn check_shares(world: &World, books: &Books, wrong: &mut Vec<String>) {
+fn check_shares(sim: &Simulation, state: &TableState, violations: &mut Vec<String>) {
     let mut used: BTreeMap<&str, u64> = BTreeMap::new();
-    for replica in books.endpoints.values().flat_map(|row| &row.replicas) {
+    for replica in state.endpoints.values().flat_map(|row| &row.replicas) {
         *used.entry(&replica.org).or_default() += replica.memory_mb;
     }
-    for (org, (booked, balance)) in &books.shares {
+    for (org, (booked, balance)) in &state.shares {
         let found = used.remove(org.as_str()).unwrap_or(0);
         if found != *booked || *balance != 0 {
-            wrong.push(format!("{org}: booked {booked}, ledgers {found}, balance {balance}"));
+            violations.push(format!("{org}: share rows book {booked} MB, ledgers hold {found} MB, balance is {balance} MB"));
         }
-        let key = world.registry.organisations.get(org);
-        let spec = key.and_then(|key| world.catalogue.organisations.get(&key));
-        if spec.is_some_and(|spec| found > spec.share_mb) && !world.faults_changed_shares() {
-            wrong.push(format!("{org} holds {found}, more than its share"));
+        let key = sim.registry.organisations.get(org);
+        let spec = key.and_then(|key| sim.catalogue.organisations.get(&key));
+        if spec.is_some_and(|spec| found > spec.share_mb) && !sim.config_changed() {
+            violations.push(format!("{org} holds {found} MB, more than its share"));
         }
     }
     for (org, found) in used.into_iter().filter(|(_, found)| *found > 0) {
-        wrong.push(format!("{org} holds {found} that no share row has"));
+        violations.push(format!("{org} holds {found} MB without a share row"));
     }
 }
 
-fn check_permits(world: &World, books: &Books, wrong: &mut Vec<String>) {
-    let limit = world.catalogue.pool.loads_once;
-    let permits = &books.weights.permits;
+fn check_permits(sim: &Simulation, state: &TableState, violations: &mut Vec<String>) {
+    let limit = sim.catalogue.pool.loads_once;
+    let permits = &state.weights.permits;
     if permits.len() as u64 > limit {
-        wrong.push(format!("{} permits of {limit}", permits.len()));
+        violations.push(format!("{} permits are taken, the limit is {limit}", permits.len()));
     }
-    for (name, row) in &books.endpoints {
+    for (name, row) in &state.endpoints {
         let loading = row.replicas.iter().filter(|it| it.phase() == Phase::Loading && it.remote);
         for replica in loading {
             let held = permits.iter().any(|it| it.order == replica.order && it.endpoint == *name);
             if !held {
-                wrong.push(format!("{name} loads {} without a permit", replica.model));
+                violations.push(format!(
+                    "{name} loads {} from the weight store without a permit",
+                    replica.model
+                ));
             }
         }
     }
 }
 
-fn check_deadlines(world: &World, wrong: &mut Vec<String>) {
-    for (id, caller) in &world.callers {
-        let (entry, life) = caller.entry;
-        let node = &world.entries[entry];
-        if !node.alive || node.life != life || world.was_paused(entry) {
+fn check_deadlines(sim: &Simulation, violations: &mut Vec<String>) {
+    for (id, request) in &sim.requests {
+        let (entry, incarnation) = request.entry;
+        let node = &sim.entries[entry];
+        if !node.alive || node.incarnation != incarnation || sim.was_paused(entry) {
             continue;
         }
-        let ended = caller.ended.map_or(world.now(), |(at, _)| at);
-        if ended > caller.deadline + GRACE_MS {
-            wrong.push(format!("{id:?} has no answer {GRACE_MS} ms after its deadline"));
+        let ended = request.ended.map_or(sim.now(), |(at, _)| at);
+        if ended > request.deadline + GRACE_MS {
+            violations.push(format!("{id:?} has no answer {GRACE_MS} ms after its deadline"));
         }
     }
 }
--- a/crates/lab/src/replay.rs
+++ b/crates/lab/src/replay.rs
@@ -1,4 +1,4 @@
-//! Replays of arrival traces over the reducers, against the naive rules and two bounds.
+//! Replays of arrival traces over the reducers, compared with naive rules and two lower bounds.
 
 use std::collections::BTreeMap;
 
@@ -7,43 +7,45 @@
 
 use crate::{
     traces::{Deployment, TraceRequest, WORKER_MB},
-    world::{Caller, Ending, Operations, World, WorldOptions},
+    world::{Operations, RequestOutcome, RequestRecord, Simulation, SimulationOptions},
 };
 
 const ENTRIES: usize = 3;
-/// The longest time that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 3_600_000;
+/// Largest latency that the histograms distinguish, in milliseconds.
+const MAX_LATENCY_MS: u64 = 3_600_000;
 const SLOTS: u64 = 8;
-/// Time between two ticks of an entry and of a side: coarser than in a process, to be quick.
+/// Tick intervals of an entry and of a side, in milliseconds. They are longer than in a process, to
+/// make the replay fast.
 const TICKS: (u64, u64) = (200, 500);
 const DAY_MS: u64 = 24 * 3_600_000;
 const SETTLE_MS: u64 = 5_000;
-/// How long a naive replica is kept.
+/// Keep-alive time of the naive rules.
 const NAIVE_KEEP_MS: u64 = 600_000;
-/// How often finished requests are collected.
+/// Interval at which finished requests are collected.
 const COLLECT_MS: u64 = 60_000;
 
-/// A set of rules to replay with.
+/// A set of policies to replay with.
 #[derive(Clone, Copy)]
 pub struct Rules {
-    /// Their name in the table.
+    /// Name in the printed table.
     pub name: &'static str,
-    /// Makes them.
-    pub make: fn() -> Policies,
+    /// Creates the policies.
+    pub policies: fn() -> Policies,
 }
 
-/// The rules of the product.
-pub const OURS: Rules = Rules { name: "ours", make: Policies::default };
+/// The default policies.
+pub const OURS: Rules = Rules { name: "ours", policies: Policies::default };
 
-/// Load where it is emptiest, keep for ten minutes, any replica, every entry decides for itself.
-pub const NAIVE: Rules = Rules { name: "naive", make: naive };
+/// Naive policies: load where most memory is free, keep for ten minutes, route to a random replica,
+/// and let every entry decide without a coordinator.
+pub const NAIVE: Rules = Rules { name: "naive", policies: naive };
 
-/// Ours, but with a fixed time to keep.
-pub const FIXED_SHORT: Rules = Rules { name: "ours, keep 1 min", make: || fixed(60_000) };
-/// As [`FIXED_SHORT`], longer.
-pub const FIXED_MIDDLE: Rules = Rules { name: "ours, keep 15 min", make: || fixed(900_000) };
-/// As [`FIXED_SHORT`], for hours.
-pub const FIXED_LONG: Rules = Rules { name: "ours, keep 3 h", make: || fixed(10_800_000) };
+/// The default policies with a fixed keep-alive time of a minute.
+pub const FIXED_SHORT: Rules = Rules { name: "ours, keep 1 min", policies: || fixed(60_000) };
+/// As [`FIXED_SHORT`], with 15 minutes.
+pub const FIXED_MIDDLE: Rules = Rules { name: "ours, keep 15 min", policies: || fixed(900_000) };
+/// As [`FIXED_SHORT`], with 3 hours.
+pub const FIXED_LONG: Rules = Rules { name: "ours, keep 3 h", policies: || fixed(10_800_000) };
 
 fn naive() -> Policies {
     Policies {
@@ -58,68 +60,69 @@
     Policies { keep: Box::new(FixedKeep(millis)), ..Policies::default() }
 }
 
-/// What a replay showed, over the days after the first ones.
+/// Result of a replay, over the days after the warm-up.
 #[derive(Debug, Clone, Default)]
 pub struct ReplayReport {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Requests refused.
+    /// Number of refused requests.
     pub refused: u64,
-    /// Times that a model had to be loaded for a request that waited.
+    /// Number of cold starts: loads of a model for which a request waited.
     pub colds: u64,
-    /// Time to the first part of a cold request, in milliseconds: p50, p99, p99.9.
+    /// Time to first byte of cold requests, in milliseconds: p50, p99, p99.9.
     pub cold_ms: [u64; 3],
-    /// Load time of the nearest cached copy with an idle store, over the same cold requests.
+    /// Lower bound for the same requests, in milliseconds: load time from the fastest cache, with an
+    /// idle weight store.
     pub bound_ms: [u64; 3],
-    /// Hours that a model served and nothing ran.
+    /// Hours in which a ready model had no running call.
     pub idle_hours: f64,
-    /// Idle hours of a keep-alive that knows each next arrival, with as many cold starts.
+    /// Idle hours of a keep-alive policy that knows each next arrival, with as many cold starts.
     pub clairvoyant_hours: f64,
-    /// Loads of engines.
+    /// Loads begun by engines.
     pub loads: u64,
-    /// Operations on the table.
+    /// Table operations.
     pub operations: Operations,
-    /// Virtual seconds.
+    /// Duration, in virtual seconds.
     pub seconds: f64,
 }
 
 /// Replays `days` days and reports on those after the first `warm_up`.
 pub fn replay(deployment: &Deployment, rules: &Rules, days: u64, warm_up: u64) -> ReplayReport {
     let trace = deployment.trace(days, 42);
-    let mut world = World::new(WorldOptions {
+    let mut sim = Simulation::new(SimulationOptions {
         seed: 7,
-        text: deployment.text(),
+        config: deployment.config(),
         entries: ENTRIES,
         endpoints: vec![(WORKER_MB, true); deployment.workers],
         zones: deployment.zones.iter().map(|zone| (*zone).to_owned()).collect(),
         slots: SLOTS,
-        ticks: TICKS,
-        policies: rules.make,
-        keep_calls: false,
+        tick_ms: TICKS,
+        policies: rules.policies,
+        keep_finished: false,
     });
-    seed_caches(&mut world, deployment);
-    world.run(SETTLE_MS);
-    let from = warm_up * DAY_MS;
-    let mut replay = Replay::new(deployment, from);
+    seed_caches(&mut sim, deployment);
+    sim.advance(SETTLE_MS);
+    let measure_from = warm_up * DAY_MS;
+    let mut replay = Replay::new(deployment, measure_from);
     for (number, request) in trace.iter().enumerate() {
         let at = SETTLE_MS + request.at;
-        replay.run_until(&mut world, at);
-        let bound = world.nearest_ms(&deployment.model_name(request.model));
-        let id = world.request(number % ENTRIES, &deployment.model_name(request.model), None, None);
+        replay.run_until(&mut sim, at);
+        let bound = sim.min_load_ms(&deployment.model_name(request.model));
+        let id = sim.request(number % ENTRIES, &deployment.model_name(request.model), None, None);
         if let Some(id) = id {
             replay.bounds.insert(id.0, bound);
         }
     }
-    replay.run_until(&mut world, SETTLE_MS + days * DAY_MS);
-    replay.report(&world, &trace)
+    replay.run_until(&mut sim, SETTLE_MS + days * DAY_MS);
+    replay.report(&sim, &trace)
 }
 
-/// Weights are on the disks unevenly: each model at one worker in four.
-fn seed_caches(world: &mut World, deployment: &Deployment) {
+/// Fills the disk caches unevenly: a cached model is on one worker in four.
+fn seed_caches(sim: &mut Simulation, deployment: &Deployment) {
     for model in 0..deployment.models + deployment.adapters {
         for worker in 0..deployment.workers {
             if (model * 31 + worker * 17) % 4 == 0 && model % 5 != 0 {
-                world.cache(worker, &deployment.model_name(model));
+                sim.cache_on_disk(worker, &deployment.model_name(model));
             }
         }
     }
@@ -127,118 +130,120 @@
 
 struct Replay<'a> {
     deployment: &'a Deployment,
-    from: u64,
+    measure_from: u64,
     bounds: BTreeMap<u64, u64>,
     cold: Histogram<u64>,
     bound: Histogram<u64>,
     report: ReplayReport,
-    colds: BTreeMap<String, u64>,
-    before: Option<(f64, u64, Operations)>,
+    last_cold: BTreeMap<String, u64>,
+    baseline: Option<(f64, u64, Operations)>,
 }
 
 impl<'a> Replay<'a> {
-    fn new(deployment: &'a Deployment, from: u64) -> Replay<'a> {
-        // Bounds must be given: without them, a value beyond the first range is recorded as its end.
+    fn new(deployment: &'a Deployment, measure_from: u64) -> Replay<'a> {
+        // The bounds are required: without them, a value above the initial range is recorded as the
+        // end of that range.
         let histogram = || {
-            Histogram::new_with_bounds(1, LONGEST_MS, 3)
+            Histogram::new_with_bounds(1, MAX_LATENCY_MS, 3)
                 .unwrap_or_else(|_| unreachable!("constant bounds"))
         };
         Replay {
             deployment,
-            from,
+            measure_from,
             bounds: BTreeMap::new(),
             cold: histogram(),
             bound: histogram(),
             report: ReplayReport::default(),
-            colds: BTreeMap::new(),
-            before: None,
+            last_cold: BTreeMap::new(),
+            baseline: None,
         }
     }
 
-    fn run_until(&mut self, world: &mut World, at: u64) {
-        while world.now() < at {
-            if self.before.is_none() && world.now() >= self.from {
-                self.before = Some((world.idle_hours(), world.loads(), world.operations));
+    fn run_until(&mut self, sim: &mut Simulation, at: u64) {
+        while sim.now() < at {
+            if self.baseline.is_none() && sim.now() >= self.measure_from {
+                self.baseline = Some((sim.idle_hours(), sim.loads(), sim.operations));
             }
-            let step = (at - world.now()).min(COLLECT_MS);
-            world.run(step);
-            for (number, caller) in world.take_finished_numbered() {
+            let step = (at - sim.now()).min(COLLECT_MS);
+            sim.advance(step);
+            for (number, request) in sim.take_finished() {
                 let bound = self.bounds.remove(&number);
-                self.count(&caller, bound.unwrap_or(0));
+                self.record(&request, bound.unwrap_or(0));
             }
         }
     }
 
-    fn count(&mut self, caller: &Caller, bound: u64) {
-        if caller.arrived < self.from + SETTLE_MS {
+    fn record(&mut self, request: &RequestRecord, bound: u64) {
+        if request.arrived < self.measure_from + SETTLE_MS {
             return;
         }
         self.report.requests += 1;
-        if !matches!(caller.ended, Some((_, Ending::Whole | Ending::Replayed))) {
+        if !matches!(request.ended, Some((_, RequestOutcome::Completed | RequestOutcome::Replayed)))
+        {
             self.report.refused += 1;
             return;
         }
-        let Some(began) = caller.began.filter(|_| !caller.warm) else { return };
-        self.cold.saturating_record(began - caller.arrived);
+        let Some(first_byte) = request.first_byte_at.filter(|_| !request.warm) else { return };
+        self.cold.saturating_record(first_byte - request.arrived);
         self.bound.saturating_record(bound);
-        // A burst for one cold model is one cold start.
-        let last = self.colds.entry(caller.model.clone()).or_insert(0);
-        if caller.arrived > *last {
+        // Several requests that wait for the same load are one cold start.
+        let last = self.last_cold.entry(request.model.clone()).or_insert(0);
+        if request.arrived > *last {
             self.report.colds += 1;
         }
-        *last = (*last).max(began);
+        *last = (*last).max(first_byte);
     }
 
-    fn report(mut self, world: &World, trace: &[TraceRequest]) -> ReplayReport {
-        let (idle, loads, operations) = self.before.unwrap_or_default();
+    fn report(mut self, sim: &Simulation, trace: &[TraceRequest]) -> ReplayReport {
+        let (idle, loads, operations) = self.baseline.unwrap_or_default();
         let quantiles = |it: &Histogram<u64>| [0.5, 0.99, 0.999].map(|q| it.value_at_quantile(q));
         self.report.cold_ms = quantiles(&self.cold);
         self.report.bound_ms = quantiles(&self.bound);
-        self.report.idle_hours = world.idle_hours() - idle;
-        self.report.loads = world.loads() - loads;
-        self.report.operations = world.operations.since(operations);
-        self.report.seconds = (world.now() - self.from) as f64 / 1000.0;
+        self.report.idle_hours = sim.idle_hours() - idle;
+        self.report.loads = sim.loads() - loads;
+        self.report.operations = sim.operations.since(operations);
+        self.report.seconds = (sim.now() - self.measure_from) as f64 / 1000.0;
         self.report.clairvoyant_hours = self.clairvoyant(trace);
         self.report
     }
 
-    /// Idle hours of the best possible choice of gaps to bridge, with as many cold starts as seen.
+    /// Returns the minimum idle hours for the observed number of cold starts.
     ///
-    /// With the next arrival known, each gap is either bridged or given up; with a number of cold
-    /// starts given, bridging the shortest gaps costs least.
+    /// If the next arrival is known, a model is either kept for the whole gap or unloaded at once.
+    /// For a given number of cold starts, keeping it through the shortest gaps costs least.
     fn clairvoyant(&self, trace: &[TraceRequest]) -> f64 {
         let mut last: BTreeMap<usize, u64> = BTreeMap::new();
         let mut gaps = Vec::new();
         for request in trace {
             let base = self.deployment.base(request.model);
             let before = last.insert(base, request.at);
-            if request.at >= self.from
+            if request.at >= self.measure_from
                 && let Some(before) = before
             {
                 gaps.push(request.at - before);
             }
         }
         gaps.sort_unstable();
-        let bridged = gaps.len().saturating_sub(self.base_colds());
-        gaps.iter().take(bridged).sum::<u64>() as f64 / 3_600_000.0
+        let kept = gaps.len().saturating_sub(self.base_cold_starts());
+        gaps.iter().take(kept).sum::<u64>() as f64 / 3_600_000.0
     }
 
-    /// Cold starts of base models; an adapter alone is loaded on a base that serves.
-    fn base_colds(&self) -> usize {
+    /// Returns the number of cold starts, including loads of an adapter alone on a base that is ready.
+    fn base_cold_starts(&self) -> usize {
         self.report.colds as usize
     }
 }
 
-impl World {
-    /// Load time of the nearest cached copy of a model and, if it is needed, of its base.
-    pub(crate) fn nearest_ms(&self, model: &str) -> u64 {
+impl Simulation {
+    /// Returns the load time of a model from the fastest cache, and of its base if it is not loaded.
+    pub(crate) fn min_load_ms(&self, model: &str) -> u64 {
         let Some(key) = self.registry.models.get(model) else { return 0 };
         let Some(spec) = self.catalogue.models.get(&key) else { return 0 };
         let best = |name: &str| self.engines.iter().map(|it| it.tier(name)).max();
         let own = load_ms(spec, best(model).unwrap_or(Tier::Remote));
         let base = spec.base.and_then(|base| self.catalogue.models.get(&base));
         let loaded = |name: &str| {
-            self.engines.iter().any(|engine| engine.held().any(|(held, _)| held == name))
+            self.engines.iter().any(|engine| engine.models().any(|(held, _)| held == name))
         };
         let base = base.filter(|base| !loaded(&base.name));
         own + base.map_or(0, |base| load_ms(base, best(&base.name).unwrap_or(Tier::Remote)))
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -1,42 +1,42 @@
-//! The size of the plan on virtual time: messages, bytes, table operations and staleness.
+//! Control traffic, table operations and staleness at the planned size, on virtual time.
 //!
-//! The reducers are the real ones and the frames are encoded; sockets and threads are not part of
-//! it and are measured apart, on real processes.
+//! The reducers are the production code and frames are encoded to count their bytes. Sockets and
+//! threads are not included; they are measured separately on real processes.
 
 use citronrill_decide::{Policies, rows::model_key};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::world::{Operations, World, WorldOptions};
+use crate::world::{Operations, Simulation, SimulationOptions};
 
 /// Memory of a worker with eight accelerators, in MB.
 const WORKER_MB: u64 = 640_000;
-/// How often the world is looked at for staleness, in milliseconds.
-const LOOK_MS: u64 = 20;
+/// Interval at which staleness is polled, in milliseconds.
+const POLL_MS: u64 = 20;
 const SETTLE_MS: u64 = 12_000;
-const LIMIT_MS: u64 = 30_000;
-/// Time to load the busy models: 82 of 1 s each, 4 at once, and some more.
+const TIMEOUT_MS: u64 = 30_000;
+/// Time to load the busy models: 82 loads of 1 s, 4 at a time, with a margin.
 const WARM_UP_MS: u64 = 45_000;
 
-/// A size to measure at.
+/// Size of a deployment to measure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Endpoints, each with its side.
+    /// Number of endpoints, each with one side.
     pub sides: usize,
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: usize,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Requests a second, all entries together.
+    /// Requests per second, over all entries.
     pub requests: u64,
-    /// Models and adapters that wake up an hour.
+    /// Requests per hour for rarely used adapters, which need a cold start.
     pub wakes: u64,
 }
 
-/// The size of the plan.
+/// The planned size.
 pub const PLAN: Size = Size {
     entries: 340,
     sides: 610,
@@ -47,96 +47,96 @@
     wakes: 2_095,
 };
 
-/// What a size showed.
+/// Results for one size.
 #[derive(Debug, Clone, Default)]
 pub struct ScaleReport {
-    /// Virtual seconds measured.
+    /// Duration of the steady state, in virtual seconds.
     pub seconds: f64,
-    /// Table operations in the calm.
+    /// Table operations in the steady state.
     pub calm: Operations,
-    /// Control bytes that an entry sends and takes a second: mean and the busiest.
+    /// Control bytes sent and received by an entry per second: mean and maximum.
     pub entry_bytes: (f64, f64),
-    /// Bytes a second that all entries took, by what they were for.
+    /// Bytes received per second by an entry on average, by purpose.
     pub kinds: Vec<(&'static str, f64)>,
-    /// Control bytes that a side sends and takes a second: mean.
+    /// Control bytes sent by a side per second: mean.
     pub side_bytes: f64,
-    /// Reducer time of an entry, in microseconds of a core a second.
+    /// Time spent in an entry's reducer, in microseconds per second.
     pub entry_us: f64,
-    /// Reducer time of a side, in microseconds of a core a second.
+    /// Time spent in a side's reducer, in microseconds per second.
     pub side_us: f64,
-    /// Milliseconds until a text is in force at every entry.
+    /// Milliseconds until a configuration is active at every entry.
     pub config_ms: u64,
     /// Milliseconds until a placement is known at 99 of 100 entries.
     pub placement_ms: u64,
-    /// Milliseconds until a leaving endpoint is known at 99 of 100 entries.
+    /// Milliseconds until the drain of an endpoint is known at 99 of 100 entries.
     pub leaving_ms: u64,
-    /// Transactions on the model's row in a cold burst at all entries, and conflicts among them.
+    /// Transactions on the row of a cold model that is requested at all entries, and their conflicts.
     pub burst: (u64, u64),
-    /// Table operations in the ten seconds after a hundred cold models were asked for at once.
+    /// Table operations in the ten seconds after a hundred cold models were requested at once.
     pub morning: Operations,
     /// Table operations in the thirty seconds after a zone was lost.
     pub zone: Operations,
     /// Table operations in the ten seconds after a zone's processes restarted at once.
     pub restart: Operations,
-    /// Rows that an entry holds.
+    /// Number of rows in an entry's view.
     pub rows: usize,
 }
 
-fn text(size: &Size) -> String {
-    let mut text = format!(
+fn config(size: &Size) -> String {
+    let mut config = format!(
         "[pool]\nloads_second = 7\nloads_once = 4\n\
          [organisation pool]\nshare_mb = {}\ncold_weight = 300\n\
          [service all]\norganisation = pool\nclass = urgent\ndeadline_ms = 30000\n",
         size.sides as u64 * WORKER_MB
     );
     for model in 0..size.models {
-        let part = format!(
+        let section = format!(
             "[model m{model}]\nservice = all\nmemory_mb = 20000\nload_ms = 1000\nreplicas = 2\n"
         );
-        text.push_str(&part);
+        config.push_str(&section);
     }
     for adapter in 0..size.adapters {
         let base = adapter % size.models;
-        let part =
+        let section =
             format!("[adapter a{adapter}]\nbase = m{base}\nmemory_mb = 150\nload_ms = 300\n");
-        text.push_str(&part);
+        config.push_str(&section);
     }
-    text
+    config
 }
 
-struct Scale {
+struct ScaleRun {
     size: Size,
-    world: World,
+    sim: Simulation,
     rng: SmallRng,
 }
 
-/// Measures one size over `seconds` of calm, and each event after it.
+/// Measures one size over `seconds` of steady state, then each event.
 pub fn scale(size: &Size, seconds: u64) -> ScaleReport {
     let zones = (0..size.zones).map(|zone| format!("zone-{zone}")).collect();
-    let world = World::new(WorldOptions {
+    let sim = Simulation::new(SimulationOptions {
         seed: 11,
-        text: text(size),
+        config: config(size),
         entries: size.entries,
         endpoints: vec![(WORKER_MB, true); size.sides],
         zones,
         slots: 64,
-        ticks: (50, 100),
+        tick_ms: (50, 100),
         policies: Policies::default,
-        keep_calls: false,
+        keep_finished: false,
     });
-    let mut scale = Scale { size: *size, world, rng: SmallRng::seed_from_u64(3) };
-    scale.world.run(SETTLE_MS);
+    let mut scale = ScaleRun { size: *size, sim, rng: SmallRng::seed_from_u64(3) };
+    scale.sim.advance(SETTLE_MS);
     let mut report = ScaleReport { seconds: seconds as f64, ..ScaleReport::default() };
-    scale.calm(seconds, &mut report);
-    scale.burst(&mut report);
-    scale.staleness(&mut report);
-    scale.events(&mut report);
+    scale.measure_steady_state(seconds, &mut report);
+    scale.measure_burst(&mut report);
+    scale.measure_staleness(&mut report);
+    scale.measure_events(&mut report);
     report
 }
 
-impl Scale {
-    /// Requests for busy models, and now and then one that wakes a model up.
-    fn traffic(&mut self, millis: u64) {
+impl ScaleRun {
+    /// Sends requests for busy models and, rarely, for adapters that need a cold start.
+    fn run_traffic(&mut self, millis: u64) {
         let busy = (self.size.models / 4).max(1);
         let (mut requests, mut wakes) = (0.0, 0.0);
         for _ in 0..millis / 10 {
@@ -152,32 +152,32 @@
                 let adapter = self.rng.random_range(0..self.size.adapters.max(1));
                 self.request(&format!("a{adapter}"));
             }
-            self.world.run(10);
-            self.world.take_finished_numbered();
+            self.sim.advance(10);
+            self.sim.take_finished();
         }
     }
 
     fn request(&mut self, model: &str) {
         let entry = self.rng.random_range(0..self.size.entries);
-        self.world.request(entry, model, None, None);
+        self.sim.request(entry, model, None, None);
     }
 
-    /// Loads the busy models, with little traffic, until the weight store has carried them all.
+    /// Runs with little traffic until the busy models are loaded.
     fn warm_up(&mut self) {
         let size = self.size;
         self.size.requests = (size.requests / 20).max(20);
-        self.traffic(WARM_UP_MS);
+        self.run_traffic(WARM_UP_MS);
         self.size = size;
-        self.traffic(5_000);
+        self.run_traffic(5_000);
     }
 
-    fn calm(&mut self, seconds: u64, report: &mut ScaleReport) {
+    fn measure_steady_state(&mut self, seconds: u64, report: &mut ScaleReport) {
         self.warm_up();
-        let before = self.world.operations;
-        let meters = self.world.meters();
-        self.traffic(seconds * 1_000);
-        let after = self.world.meters();
-        report.calm = self.world.operations.since(before);
+        let before = self.sim.operations;
+        let meters = self.sim.meters();
+        self.run_traffic(seconds * 1_000);
+        let after = self.sim.meters();
+        report.calm = self.sim.operations.since(before);
         let bytes = |index: usize| {
             (after.entry_bytes[index] - meters.entry_bytes[index]) as f64 / seconds as f64
         };
@@ -197,92 +197,93 @@
         let per = |nanos: u64, count: usize| nanos as f64 / 1e3 / seconds as f64 / count as f64;
         report.entry_us = per(after.entry_nanos - meters.entry_nanos, self.size.entries);
         report.side_us = per(after.side_nanos - meters.side_nanos, self.size.sides);
-        report.rows = self.world.entry(0).view().len();
+        report.rows = self.sim.entry(0).view().len();
     }
 
-    /// One cold model, asked for at every entry within a second.
-    fn burst(&mut self, report: &mut ScaleReport) {
+    /// Requests one cold model at every entry, ten entries every 10 ms.
+    fn measure_burst(&mut self, report: &mut ScaleReport) {
         let model = format!("m{}", self.size.models - 1);
-        self.world.watch(model_key(&model));
+        self.sim.watch_row(model_key(&model));
         for entry in 0..self.size.entries {
-            self.world.request(entry, &model, None, None);
+            self.sim.request(entry, &model, None, None);
             if entry % 10 == 9 {
-                self.world.run(10);
+                self.sim.advance(10);
             }
         }
-        self.world.run(6_000);
-        report.burst = self.world.watched();
+        self.sim.advance(6_000);
+        report.burst = self.sim.watched_commits();
     }
 
-    /// Milliseconds until `part` of the entries see something.
-    fn until(&mut self, part: f64, sees: impl Fn(&World, usize) -> bool) -> u64 {
-        let begun = self.world.now();
-        while self.world.now() - begun < LIMIT_MS {
-            self.world.run(LOOK_MS);
-            let entries = self.world.living_entries();
-            let seeing = entries.iter().filter(|index| sees(&self.world, **index)).count();
-            if seeing as f64 >= entries.len() as f64 * part {
+    /// Returns the milliseconds until `sees` holds at a fraction of the entries.
+    fn propagation_ms(&mut self, fraction: f64, sees: impl Fn(&Simulation, usize) -> bool) -> u64 {
+        let started = self.sim.now();
+        while self.sim.now() - started < TIMEOUT_MS {
+            self.sim.advance(POLL_MS);
+            let entries = self.sim.running_entries();
+            let count = entries.iter().filter(|index| sees(&self.sim, **index)).count();
+            if count as f64 >= entries.len() as f64 * fraction {
                 break;
             }
         }
-        self.world.now() - begun
+        self.sim.now() - started
     }
 
-    fn staleness(&mut self, report: &mut ScaleReport) {
-        let changed = text(&self.size).replacen("load_ms = 1000", "load_ms = 1001", 1);
-        self.world.apply(&changed);
+    fn measure_staleness(&mut self, report: &mut ScaleReport) {
+        let changed = config(&self.size).replacen("load_ms = 1000", "load_ms = 1001", 1);
+        self.sim.apply_config(&changed);
         let version = 2;
-        report.config_ms = self.until(1.0, |world, index| world.entry(index).version() == version);
+        report.config_ms =
+            self.propagation_ms(1.0, |sim, index| sim.entry(index).version() == version);
         let model = format!("m{}", self.size.models - 2);
-        self.world.request(0, &model, None, None);
-        let decided = |world: &World, index: usize| {
-            let view = world.entry(index).view();
+        self.sim.request(0, &model, None, None);
+        let sees_placement = |sim: &Simulation, index: usize| {
+            let view = sim.entry(index).view();
             let key = view.registry.models.get(&model);
             key.is_some_and(|key| view.replicas(key).next().is_some())
         };
-        report.placement_ms = self.until(0.99, decided);
+        report.placement_ms = self.propagation_ms(0.99, sees_placement);
         let endpoint = self.size.sides - 1;
-        self.world.drain_endpoint(endpoint, true);
+        self.sim.drain_endpoint(endpoint, true);
         let name = format!("worker-{endpoint}");
-        let left = |world: &World, index: usize| {
-            let view = world.entry(index).view();
+        let sees_leaving = |sim: &Simulation, index: usize| {
+            let view = sim.entry(index).view();
             let key = view.registry.endpoints.get(&name);
             key.and_then(|key| view.endpoint(key)).is_none_or(|row| row.leaving)
         };
-        report.leaving_ms = self.until(0.99, left);
+        report.leaving_ms = self.propagation_ms(0.99, sees_leaving);
     }
 
-    fn events(&mut self, report: &mut ScaleReport) {
-        self.world.run(5_000);
-        let before = self.world.operations;
+    fn measure_events(&mut self, report: &mut ScaleReport) {
+        self.sim.advance(5_000);
+        let before = self.sim.operations;
         let (from, to) = (self.size.models / 2, (self.size.models / 2 + 100).min(self.size.models));
         for model in from..to {
             for _ in 0..3 {
                 self.request(&format!("m{model}"));
             }
         }
-        self.world.run(10_000);
-        report.morning = self.world.operations.since(before);
-        self.world.run(20_000);
-        let lost = |index: &usize| index % self.size.zones == 1;
-        let before = self.world.operations;
-        for index in (0..self.size.entries).filter(lost) {
-            self.world.kill_entry(index);
+        self.sim.advance(10_000);
+        report.morning = self.sim.operations.since(before);
+        self.sim.advance(20_000);
+        let in_zone = |index: &usize| index % self.size.zones == 1;
+        let before = self.sim.operations;
+        for index in (0..self.size.entries).filter(in_zone) {
+            self.sim.kill_entry(index);
         }
-        for index in (0..self.size.sides).filter(lost) {
-            self.world.kill_endpoint(index);
+        for index in (0..self.size.sides).filter(in_zone) {
+            self.sim.kill_endpoint(index);
         }
-        self.world.run(30_000);
-        report.zone = self.world.operations.since(before);
-        let lost = |index: &usize| index % self.size.zones == 2;
-        for index in (0..self.size.entries).filter(lost) {
-            self.world.kill_entry(index);
+        self.sim.advance(30_000);
+        report.zone = self.sim.operations.since(before);
+        let in_zone = |index: &usize| index % self.size.zones == 2;
+        for index in (0..self.size.entries).filter(in_zone) {
+            self.sim.kill_entry(index);
         }
-        let before = self.world.operations;
-        for index in (0..self.size.entries).filter(lost) {
-            self.world.restart_entry(index);
+        let before = self.sim.operations;
+        for index in (0..self.size.entries).filter(in_zone) {
+            self.sim.restart_entry(index);
         }
-        self.world.run(10_000);
-        report.restart = self.world.operations.since(before);
+        self.sim.advance(10_000);
+        report.restart = self.sim.operations.since(before);
     }
 }
--- a/crates/lab/src/traces.rs
+++ b/crates/lab/src/traces.rs
@@ -1,43 +1,43 @@
-//! Arrival traces of both deployments, made from a seed.
+//! Arrival traces of both deployments, generated from a seed.
 //!
-//! Few models are busy by day; most are asked for now and then, some every day at about the same
-//! time; nights are quiet, and the first requests after them come as bursts at all entries at once.
+//! Few models are busy by day. Most are requested rarely, some daily at about the same time. There is
+//! almost no traffic at night, and each period of use starts with a burst of requests.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// One request of a trace.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TraceRequest {
-    /// When it comes, in milliseconds.
+    /// Arrival time, in milliseconds.
     pub at: u64,
-    /// The model's number.
+    /// Index of the model or adapter.
     pub model: usize,
 }
 
-/// How one of the deployments is made up.
+/// Description of a deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
-    /// Its name.
+    /// Name of the deployment.
     pub name: &'static str,
-    /// Its organisation.
+    /// Name of the organisation.
     pub org: &'static str,
-    /// What a second of cold start weighs against an idle accelerator second.
+    /// Cost of a second of cold start, relative to an idle accelerator second.
     pub cold_weight: u64,
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Loads a second, and at once, of the weight store.
+    /// Limits of the weight store: loads per second, and concurrent loads.
     pub loads: (u64, u64),
-    /// Hours of the day in which there is traffic.
+    /// Hours of the day in which there is traffic; the end is exclusive.
     pub hours: (u64, u64),
     /// Availability zones.
     pub zones: [&'static str; 3],
 }
 
-/// Vienna: residents leave within moments, so that cold starts weigh more.
+/// Vienna: residents soon give up waiting, so cold starts have a high cost.
 pub const VIENNA: Deployment = Deployment {
     name: "vienna",
     org: "sperrgut",
@@ -50,7 +50,7 @@
     zones: ["wien-a", "wien-b", "wien-c"],
 };
 
-/// The river yards: quiet nights, so that idle accelerators weigh more.
+/// The river yards: there is little traffic at night, so idle accelerators have a high cost.
 pub const LITORAL: Deployment = Deployment {
     name: "litoral",
     org: "remolacheros",
@@ -69,19 +69,19 @@
 const HOUR_MS: u64 = 3_600_000;
 /// One model in this many is busy by day.
 const BUSY_ONE_IN: usize = 12;
-/// One model in this many is asked for daily at about the same time.
+/// One model in this many is requested daily at about the same time.
 const DAILY_ONE_IN: usize = 3;
 
 impl Deployment {
-    /// Memory of a model, in MB: from 6 to 30 GB.
+    /// Returns the memory of a model, in MB: from 6 to 30 GB.
     fn memory_mb(&self, model: usize) -> u64 {
         6_000 + (model as u64 * 7_919) % 24_000
     }
 
-    /// The operators' text at today's size.
-    pub fn text(&self) -> String {
+    /// Returns the operators' configuration at the current size.
+    pub fn config(&self) -> String {
         let (second, once) = self.loads;
-        let mut text = format!(
+        let mut config = format!(
             "[pool]\nloads_second = {second}\nloads_once = {once}\n\
              [organisation {}]\nshare_mb = {}\ncold_weight = {}\nidle_weight = 1\n\
              [service assistants]\norganisation = {}\nclass = urgent\ndeadline_ms = 60000\n",
@@ -93,33 +93,33 @@
         for model in 0..self.models {
             let memory_mb = self.memory_mb(model);
             let load_ms = memory_mb / 4;
-            text.push_str(&format!(
+            config.push_str(&format!(
                 "[model {}]\nservice = assistants\nmemory_mb = {memory_mb}\nload_ms = {load_ms}\n\
                  replicas = 2\n",
                 self.model_name(model)
             ));
         }
         for adapter in 0..self.adapters {
-            text.push_str(&format!(
+            config.push_str(&format!(
                 "[adapter {}]\nbase = {}\nmemory_mb = 150\nload_ms = 300\n",
                 self.model_name(self.models + adapter),
                 self.model_name(adapter % self.models)
             ));
         }
-        text
+        config
     }
 
-    /// The name of a model or, beyond the models, an adapter.
+    /// Returns the name of a model, or of an adapter for an index above the models.
     pub fn model_name(&self, model: usize) -> String {
         if model < self.models { format!("m{model}") } else { format!("a{}", model - self.models) }
     }
 
-    /// The base model of a model or adapter.
+    /// Returns the base model of an adapter, or the model itself.
     pub fn base(&self, model: usize) -> usize {
         if model < self.models { model } else { (model - self.models) % self.models }
     }
 
-    /// Requests of `days` days, in order.
+    /// Returns the requests of `days` days, in order of arrival.
     pub fn trace(&self, days: u64, seed: u64) -> Vec<TraceRequest> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut trace = Vec::new();
@@ -136,7 +136,7 @@
         trace
     }
 
-    /// Asked for every few seconds by day.
+    /// Adds requests every few seconds by day.
     fn busy(&self, model: usize, days: u64, rng: &mut SmallRng, trace: &mut Vec<TraceRequest>) {
         let mean = rng.random_range(8_000..40_000);
         for day in 0..days {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// A run of requests each day at about the same time.
+    /// Adds a series of requests each day at about the same time.
     fn daily(&self, model: usize, days: u64, rng: &mut SmallRng, trace: &mut Vec<TraceRequest>) {
         let hour = rng.random_range(self.hours.0..self.hours.1);
         for day in 0..days {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// A handful of requests every few hours, by day.
+    /// Adds a few requests every few hours, by day.
     fn rare(&self, model: usize, days: u64, rng: &mut SmallRng, trace: &mut Vec<TraceRequest>) {
         let mean = rng.random_range(2..30) * HOUR_MS;
         let mut at = exponential(mean, rng);
@@ -182,7 +182,7 @@
     }
 }
 
-/// Several requests within a second.
+/// Adds several requests within a second.
 fn burst(model: usize, at: u64, rng: &mut SmallRng, trace: &mut Vec<TraceRequest>) {
     for _ in 0..rng.random_range(1..6) {
         trace.push(TraceRequest { at: at + rng.random_range(0..1_000), model });
--- a/crates/lab/src/world/calls.rs
+++ b/crates/lab/src/world/calls.rs
@@ -1,215 +1,222 @@
-//! Calls between entries and sides, and what the ledger of runs says of them.
+//! Calls between entries and sides, and the checks of their execution.
 
 use super::*;
 
-impl World {
-    pub(super) fn living_side(&self, address: &str) -> Option<SideIndex> {
+impl Simulation {
+    pub(super) fn running_side(&self, address: &str) -> Option<SideIndex> {
         self.sides.iter().position(|it| it.alive && it.profile.address == address)
     }
 
-    pub(super) fn offer(&mut self, to: &str, sending: Sending, offer: Offer) {
-        let Some(side) = self.living_side(to) else {
-            let event = Event::Unsent(sending.id, sending.call);
-            return self.tell_call(sending, event);
+    pub(super) fn offer(&mut self, to: &str, attempt: Attempt, offer: Offer) {
+        let Some(side) = self.running_side(to) else {
+            let event = Event::Unsent(attempt.id, attempt.call);
+            return self.notify_entry(attempt, event);
         };
-        self.sides[side].offers.insert(offer.id, sending);
-        let life = self.sides[side].life;
-        if self.rng.random_bool(self.faults.twice_part) {
-            let again = SideEvent::Offer(offer.clone());
-            self.schedule(7, Happening::ToSide(side, life, again));
+        self.sides[side].attempts.insert(offer.id, attempt);
+        let incarnation = self.sides[side].incarnation;
+        if self.rng.random_bool(self.faults.duplicated_messages) {
+            let duplicate = SideEvent::Offer(offer.clone());
+            self.schedule(7, SimEvent::ToSide(side, incarnation, duplicate));
         }
-        self.deliver_side(side, life, SideEvent::Offer(offer));
+        self.deliver_side(side, incarnation, SideEvent::Offer(offer));
     }
 
-    /// Tells an entry of a call, if that call is still the one that stands for its request.
-    pub(super) fn tell_call(&mut self, sending: Sending, event: Event) {
-        let delay = self.hop();
-        self.schedule(delay, Happening::ToEntry(sending.entry, sending.life, event));
+    /// Sends an event about a call to its entry, after a network delay.
+    pub(super) fn notify_entry(&mut self, attempt: Attempt, event: Event) {
+        let delay = self.network_delay();
+        self.schedule(delay, SimEvent::ToEntry(attempt.entry, attempt.incarnation, event));
     }
 
-    pub(super) fn call_id(&self, sending: Sending) -> CallId {
-        CallId { session: self.entries[sending.entry].session, number: sending.call }
+    pub(super) fn call_id(&self, attempt: Attempt) -> CallId {
+        CallId { session: self.entries[attempt.entry].session, number: attempt.call }
     }
 
     pub(super) fn declined(&mut self, side: SideIndex, call: CallId, why: Decline) {
-        if let Some(sending) = self.sides[side].offers.remove(&call) {
-            let load = self.sides[side].core.running() as u32;
-            self.tell_call(
-                sending,
-                Event::Declined { id: sending.id, call: sending.call, why, load },
+        if let Some(attempt) = self.sides[side].attempts.remove(&call) {
+            let load = self.sides[side].reducer.running() as u32;
+            self.notify_entry(
+                attempt,
+                Event::Declined { id: attempt.id, call: attempt.call, why, load },
             );
         }
     }
 
-    pub(super) fn run_call(&mut self, side: SideIndex, life: u64, call: CallId) {
-        let Some(sending) = self.sides[side].offers.get(&call).copied() else {
-            return self.schedule(1, Happening::RunEnds { side, life, call });
+    pub(super) fn run_call(&mut self, side: SideIndex, incarnation: u64, call: CallId) {
+        let Some(attempt) = self.sides[side].attempts.get(&call).copied() else {
+            return self.schedule(1, SimEvent::CallFinished { side, incarnation, call });
         };
-        let Some(caller) = self.callers.get_mut(&sending.id) else {
-            return self.schedule(1, Happening::RunEnds { side, life, call });
+        let Some(request) = self.requests.get_mut(&attempt.id) else {
+            return self.schedule(1, SimEvent::CallFinished { side, incarnation, call });
         };
-        caller.runs += 1;
-        let model = caller.model.clone();
+        request.runs += 1;
+        let model = request.model.clone();
         let (now, endpoint) = (self.now, self.sides[side].endpoint);
-        self.check_run(sending.id, now);
-        self.count_idle();
+        self.check_execution(attempt.id, now);
+        self.accumulate_idle();
         self.engines[endpoint].begin_call(&model, call);
-        let first = self.rng.random_range(20..80);
-        self.tell_call_after(first, sending, Event::Began(sending.id, sending.call));
-        let caller = self.callers.get_mut(&sending.id);
-        if let Some(caller) = caller.filter(|caller| caller.began.is_none()) {
-            caller.began = Some(now + first);
+        let ttfb = self.rng.random_range(20..80);
+        self.notify_entry_after(ttfb, attempt, Event::Began(attempt.id, attempt.call));
+        let request = self.requests.get_mut(&attempt.id);
+        if let Some(request) = request.filter(|request| request.first_byte_at.is_none()) {
+            request.first_byte_at = Some(now + ttfb);
         }
         let time = self.rng.random_range(200..3_000);
-        self.schedule(time, Happening::RunEnds { side, life, call });
+        self.schedule(time, SimEvent::CallFinished { side, incarnation, call });
     }
 
-    pub(super) fn tell_call_after(&mut self, delay: u64, sending: Sending, event: Event) {
-        self.schedule(delay, Happening::ToEntry(sending.entry, sending.life, event));
+    pub(super) fn notify_entry_after(&mut self, delay: u64, attempt: Attempt, event: Event) {
+        self.schedule(delay, SimEvent::ToEntry(attempt.entry, attempt.incarnation, event));
     }
 
-    /// What must hold whenever an engine runs a call.
-    pub(super) fn check_run(&mut self, id: RequestId, now: u64) {
-        let caller = &self.callers[&id];
-        if let Some((at, Ending::Refused(refusal))) = caller.ended
+    /// Checks the invariants of a request whenever an engine runs it.
+    pub(super) fn check_execution(&mut self, id: RequestId, now: u64) {
+        let request = &self.requests[&id];
+        if let Some((at, RequestOutcome::Refused(refusal))) = request.ended
             && refusal.ran == citronrill_decide::Ran::No
         {
-            let text = format!("{id:?} ran at {now} after it was refused as not run at {at}");
-            self.violations.push(text);
+            let violation = format!("{id:?} ran at {now} after it was refused as not run at {at}");
+            self.violations.push(violation);
         }
-        if caller.runs > 1 && !caller.repeatable {
-            self.violations.push(format!("{id:?} may run once and ran {} times", caller.runs));
+        if request.runs > 1 && !request.repeatable {
+            self.violations
+                .push(format!("{id:?} must not be retried but ran {} times", request.runs));
         }
-        if let Some(key) = caller.once.filter(|_| !caller.repeatable) {
-            let same = self.callers.values().filter(|it| it.once == Some(key));
-            let runs = same.filter(|it| it.model == caller.model).map(|it| it.runs).sum::<u32>();
+        if let Some(key) = request.idempotency_key.filter(|_| !request.repeatable) {
+            let same = self.requests.values().filter(|it| it.idempotency_key == Some(key));
+            let runs = same.filter(|it| it.model == request.model).map(|it| it.runs).sum::<u32>();
             if runs > 1 {
-                self.violations.push(format!("idempotency key {key} ran {runs} times"));
+                self.violations
+                    .push(format!("requests with idempotency key {key} ran {runs} times"));
             }
         }
     }
 
-    pub(super) fn run_ends(&mut self, side: SideIndex, life: u64, call: CallId) {
-        self.count_idle();
+    pub(super) fn finish_call(&mut self, side: SideIndex, incarnation: u64, call: CallId) {
+        self.accumulate_idle();
         let endpoint = self.sides[side].endpoint;
         self.engines[endpoint].end_call(call);
-        if !self.side_lives(side, life) {
+        if !self.side_running(side, incarnation) {
             return;
         }
-        if self.sides[side].paused > self.now {
-            let delay = self.sides[side].paused - self.now;
-            return self.schedule(delay, Happening::RunEnds { side, life, call });
+        if self.sides[side].paused_until > self.now {
+            let delay = self.sides[side].paused_until - self.now;
+            return self.schedule(delay, SimEvent::CallFinished { side, incarnation, call });
         }
-        self.deliver_side(side, life, SideEvent::Ended(call));
-        let Some(sending) = self.sides[side].offers.remove(&call) else { return };
-        let load = self.sides[side].core.running() as u32;
-        let claimed = self.callers.get(&sending.id).and_then(|caller| caller.once);
+        self.deliver_side(side, incarnation, SideEvent::Ended(call));
+        let Some(attempt) = self.sides[side].attempts.remove(&call) else { return };
+        let load = self.sides[side].reducer.running() as u32;
+        let claimed = self.requests.get(&attempt.id).and_then(|request| request.idempotency_key);
         let answer = claimed.map(|_| Answer {
             status: 200,
             content_type: "text/plain".to_owned(),
             body: Some(b"answer".to_vec()),
         });
-        self.whole(sending);
-        self.tell_call(sending, Event::Ended { id: sending.id, call: sending.call, load, answer });
+        self.complete(attempt);
+        self.notify_entry(
+            attempt,
+            Event::Ended { id: attempt.id, call: attempt.call, load, answer },
+        );
     }
 
-    /// The whole answer is on its way to the caller, if the entry still stands for the request.
-    pub(super) fn whole(&mut self, sending: Sending) {
-        let lives = self.entry_lives(sending.entry, sending.life);
-        let open = self.callers.get(&sending.id).is_some_and(|it| it.ended.is_none());
-        if lives && open {
-            self.end(sending.id, Ending::Whole);
+    /// Completes a request if it is still open and its entry is still running.
+    pub(super) fn complete(&mut self, attempt: Attempt) {
+        let running = self.entry_running(attempt.entry, attempt.incarnation);
+        let open = self.requests.get(&attempt.id).is_some_and(|it| it.ended.is_none());
+        if running && open {
+            self.record_outcome(attempt.id, RequestOutcome::Completed);
         }
     }
 
-    pub(super) fn end(&mut self, id: RequestId, ending: Ending) {
+    pub(super) fn record_outcome(&mut self, id: RequestId, outcome: RequestOutcome) {
         let now = self.now;
-        let Some(caller) = self.callers.get_mut(&id) else { return };
-        if let Some((at, first)) = caller.ended {
-            if first != Ending::Whole {
-                let text = format!("{id:?} ended at {at} with {first:?} and again with {ending:?}");
-                self.violations.push(text);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if let Some((at, first)) = request.ended {
+            if first != RequestOutcome::Completed {
+                let violation =
+                    format!("{id:?} ended at {at} with {first:?} and again with {outcome:?}");
+                self.violations.push(violation);
             }
             return;
         }
-        caller.ended = Some((now, ending));
-        if let Ending::Refused(refusal) = ending
+        request.ended = Some((now, outcome));
+        if let RequestOutcome::Refused(refusal) = outcome
             && refusal.ran == citronrill_decide::Ran::No
-            && caller.runs > 0
+            && request.runs > 0
         {
-            let text = format!("{id:?} was refused as not run, but ran: {caller:?}");
-            self.violations.push(text);
+            let violation = format!("{id:?} was refused as not run, but ran: {request:?}");
+            self.violations.push(violation);
         }
-        if !self.options.keep_calls
-            && let Some(caller) = self.callers.remove(&id)
+        if !self.options.keep_finished
+            && let Some(request) = self.requests.remove(&id)
         {
-            self.finished.push((id.0, caller));
+            self.finished.push((id.0, request));
         }
     }
 
-    /// The connection has been silent: ask on another one what became of the call.
-    pub(super) fn silence(&mut self, sending: Sending, to: &str, expires: u64) {
-        let call = self.call_id(sending);
-        let side = self.living_side(to);
-        let paused = side.is_some_and(|side| self.sides[side].paused > self.now);
+    /// Handles a connection without a response: queries the state of the call on another connection.
+    pub(super) fn response_timeout(&mut self, attempt: Attempt, to: &str, expires: u64) {
+        let call = self.call_id(attempt);
+        let side = self.running_side(to);
+        let paused = side.is_some_and(|side| self.sides[side].paused_until > self.now);
         match side {
-            Some(side) if self.sides[side].offers.contains_key(&call) && !paused => {
-                // It runs: its frames go on over the new connection.
+            Some(side) if self.sides[side].attempts.contains_key(&call) && !paused => {
+                // The call is running; its frames continue on the new connection.
             }
             Some(_) if !paused => {
                 let forward = false;
                 let to = to.to_owned();
-                let cancel = Happening::CancelCall { to, sending, expires, forward };
+                let cancel = SimEvent::CancelCall { to, attempt, expires, forward };
                 self.schedule(1, cancel);
             }
             _ => {
-                let ended = self.callers.get(&sending.id).is_none_or(|it| it.ended.is_some());
-                if !ended && self.current_call(sending) {
-                    self.tell_call(sending, Event::Lost(sending.id, sending.call));
+                let ended = self.requests.get(&attempt.id).is_none_or(|it| it.ended.is_some());
+                if !ended && self.is_current(attempt) {
+                    self.notify_entry(attempt, Event::Lost(attempt.id, attempt.call));
                 }
             }
         }
     }
 
-    /// Whether the request was not sent again meanwhile; the exchange's thread knows.
-    pub(super) fn current_call(&self, sending: Sending) -> bool {
-        self.entry_lives(sending.entry, sending.life)
-            && self.entries[sending.entry].core.current_call(sending.id) == Some(sending.call)
+    /// Returns whether the attempt is still the current one of its request. In production, the thread
+    /// that handles the exchange knows this.
+    pub(super) fn is_current(&self, attempt: Attempt) -> bool {
+        self.entry_running(attempt.entry, attempt.incarnation)
+            && self.entries[attempt.entry].reducer.current_call(attempt.id) == Some(attempt.call)
     }
 
-    pub(super) fn cancel_call(&mut self, to: &str, sending: Sending, expires: u64, forward: bool) {
-        if !forward && !self.current_call(sending) {
+    pub(super) fn cancel_call(&mut self, to: &str, attempt: Attempt, expires: u64, forward: bool) {
+        if !forward && !self.is_current(attempt) {
             return;
         }
-        let id = self.call_id(sending);
-        let Some(side) = self.living_side(to) else { return };
+        let id = self.call_id(attempt);
+        let Some(side) = self.running_side(to) else { return };
         let expires = match expires {
-            u64::MAX => self.now - self.sides[side].start + 1_000,
+            u64::MAX => self.now - self.sides[side].started_at + 1_000,
             expires => expires,
         };
-        let life = self.sides[side].life;
-        self.sides[side].offers.entry(id).or_insert(sending);
-        let session = sending.session;
-        self.deliver_side(side, life, SideEvent::Cancel { id, session, expires });
+        let incarnation = self.sides[side].incarnation;
+        self.sides[side].attempts.entry(id).or_insert(attempt);
+        let session = attempt.session;
+        self.deliver_side(side, incarnation, SideEvent::Cancel { id, session, expires });
     }
 
     pub(super) fn cancel_answer(&mut self, side: SideIndex, call: CallId, answer: CancelAnswer) {
-        let Some(sending) = self.sides[side].offers.get(&call).copied() else { return };
+        let Some(attempt) = self.sides[side].attempts.get(&call).copied() else { return };
         if answer == CancelAnswer::NotRun {
-            self.sides[side].offers.remove(&call);
+            self.sides[side].attempts.remove(&call);
         }
-        if !self.current_call(sending) {
+        if !self.is_current(attempt) {
             return;
         }
-        let cancelling = self.entries[sending.entry].core.is_cancelling(sending.id);
+        let cancelling = self.entries[attempt.entry].reducer.is_cancelling(attempt.id);
         let event = match answer {
-            _ if cancelling => Event::Cancelled(sending.id, sending.call, answer),
+            _ if cancelling => Event::Cancelled(attempt.id, attempt.call, answer),
             CancelAnswer::NotRun => {
-                let (id, call, why) = (sending.id, sending.call, Decline::Cancelled);
+                let (id, call, why) = (attempt.id, attempt.call, Decline::Cancelled);
                 Event::Declined { id, call, why, load: 0 }
             }
-            CancelAnswer::Ran | CancelAnswer::Unknown => Event::Lost(sending.id, sending.call),
+            CancelAnswer::Ran | CancelAnswer::Unknown => Event::Lost(attempt.id, attempt.call),
         };
-        self.tell_call(sending, event);
+        self.notify_entry(attempt, event);
     }
 }
--- a/crates/lab/src/world/frames.rs
+++ b/crates/lab/src/world/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between processes of a world, counted by kind and bytes.
+//! Sizes of the frames between processes, by kind.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use citronrill_wire as wire;
 use prost::Message;
 
-/// Rows as they go between processes.
+/// Returns the frame that carries rows between processes.
 pub(super) fn rows_frame(rows: &[Row]) -> wire::Frame {
     let rows = rows.iter().map(|row| wire::FeedRow {
         key: row.key.clone(),
@@ -17,14 +17,14 @@
     wire::FeedRows { id: 1, rows: rows.collect(), sequence: 1, age_ms: 0 }.into()
 }
 
-/// Adds a frame's bytes to what they were for.
-pub(super) fn count_kinds(frame: &wire::Frame, kinds: &mut BTreeMap<&'static str, u64>) {
+/// Adds the bytes of a frame to the totals by kind.
+pub(super) fn count_bytes_by_kind(frame: &wire::Frame, kinds: &mut BTreeMap<&'static str, u64>) {
     let mut add = |kind, bytes: usize| *kinds.entry(kind).or_insert(0) += bytes as u64;
     match &frame.kind {
         Some(wire::Kind::FeedRows(rows)) => {
             add("feed headers", 54);
             for row in &rows.rows {
-                add(row_kind_word(&row.key), row.encoded_len() + 2);
+                add(row_kind_name(&row.key), row.encoded_len() + 2);
             }
         }
         Some(wire::Kind::Demand(_)) => add("demand", frame_bytes(frame) as usize),
@@ -32,7 +32,7 @@
     }
 }
 
-fn row_kind_word(key: &str) -> &'static str {
+fn row_kind_name(key: &str) -> &'static str {
     match row_kind(key) {
         RowKind::Endpoint(_) => "endpoint rows",
         RowKind::Model(_) => "model rows",
@@ -44,7 +44,7 @@
     }
 }
 
-/// Bytes of a frame on a connection, with its length and the headers of TCP and IP.
+/// Returns the bytes of a frame on a connection, with its length prefix and the TCP and IP headers.
 pub(super) fn frame_bytes(frame: &wire::Frame) -> u64 {
     const HEADERS: usize = 4 + 40;
     (frame.encoded_len() + HEADERS) as u64
--- a/crates/lab/src/world/life.rs
+++ b/crates/lab/src/world/life.rs
@@ -1,13 +1,13 @@
-//! Processes and instances: started, killed, paused, drained.
+//! Start, kill, pause and drain of processes and instances.
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn zone(&self, index: usize) -> String {
         self.options.zones[index % self.options.zones.len()].clone()
     }
 
-    /// Starts one more endpoint with its side; gives its number.
+    /// Starts an endpoint with its side. Returns the endpoint's index.
     pub fn add_endpoint(&mut self, memory_mb: u64, fencing: bool) -> usize {
         let endpoint = self.engines.len();
         self.engines.push(Engine::new(memory_mb, fencing));
@@ -15,7 +15,7 @@
         endpoint
     }
 
-    /// Starts a side beside an endpoint, whether or not another one still lives there.
+    /// Starts a side of an endpoint, even if another one is still running.
     pub fn start_side(&mut self, endpoint: usize) {
         let name = format!("worker-{endpoint}");
         let index = self.sides.len();
@@ -30,37 +30,46 @@
             session: 1_000_000 + index as u64,
         };
         let peer = Peer { name, address: profile.address.clone(), zone: profile.zone.clone() };
-        self.listed.insert(peer.name.clone(), Listed { peer, entry: false, leaving: false });
-        let start = self.now;
-        let core = Side::new(profile.clone(), Millis(0));
-        let offers = Map::default();
-        let (life, paused, alive) = (0, 0, true);
-        self.sides.push(SideNode { core, endpoint, start, life, paused, alive, profile, offers });
+        self.instances.insert(peer.name.clone(), Listed { peer, entry: false, leaving: false });
+        let started_at = self.now;
+        let reducer = Side::new(profile.clone(), Millis(0));
+        let attempts = Map::default();
+        let (incarnation, paused_until, alive) = (0, 0, true);
+        self.sides.push(SideNode {
+            reducer,
+            endpoint,
+            started_at,
+            incarnation,
+            paused_until,
+            alive,
+            profile,
+            attempts,
+        });
         let delay = self.rng.random_range(0..100);
-        self.schedule(delay, Happening::SideTick(index, 0));
+        self.schedule(delay, SimEvent::SideTick(index, 0));
     }
 
-    /// Starts one more entry; gives its number.
+    /// Starts an entry. Returns its index.
     pub fn add_entry(&mut self) -> usize {
         let index = self.entries.len();
         let name = format!("entry-{index}");
-        let core = self.new_entry(&name, index, index as u64 + 1);
+        let reducer = self.new_entry(&name, index, index as u64 + 1);
         let address = name.clone();
         let peer = Peer { name: name.clone(), address, zone: self.zone(index) };
-        self.listed.insert(name.clone(), Listed { peer, entry: true, leaving: false });
-        let start = self.now;
+        self.instances.insert(name.clone(), Listed { peer, entry: true, leaving: false });
+        let started_at = self.now;
         let session = index as u64 + 1;
-        let (life, paused, alive, version, was_paused) = (0, 0, true, 0, false);
+        let (incarnation, paused_until, alive, config_version, was_paused) = (0, 0, true, 0, false);
         self.entries.push(EntryNode {
-            core,
+            reducer,
             name,
-            start,
-            life,
-            paused,
+            started_at,
+            incarnation,
+            paused_until,
             alive,
             session,
             was_paused,
-            version,
+            config_version,
         });
         self.begin_entry(index);
         index
@@ -80,20 +89,20 @@
     }
 
     pub(super) fn begin_entry(&mut self, index: usize) {
-        let life = self.entries[index].life;
+        let incarnation = self.entries[index].incarnation;
         let delay = self.rng.random_range(0..100);
-        self.schedule(delay, Happening::EntryTick(index, life));
-        self.schedule(delay, Happening::List(index, life));
+        self.schedule(delay, SimEvent::EntryTick(index, incarnation));
+        self.schedule(delay, SimEvent::ReadInstances(index, incarnation));
     }
 
-    /// Ends an entry process without warning.
+    /// Kills an entry process.
     pub fn kill_entry(&mut self, index: usize) {
         let node = &mut self.entries[index];
         node.alive = false;
-        node.life += 1;
+        node.incarnation += 1;
     }
 
-    /// Starts a killed entry again, with nothing kept.
+    /// Restarts a killed entry without any state.
     pub fn restart_entry(&mut self, index: usize) {
         if self.entries[index].alive {
             return;
@@ -101,70 +110,70 @@
         self.next_request += 1;
         let session = 10_000 + self.next_request;
         let name = self.entries[index].name.clone();
-        let core = self.new_entry(&name, index, session);
+        let reducer = self.new_entry(&name, index, session);
         let now = self.now;
         let node = &mut self.entries[index];
-        (node.core, node.start, node.session) = (core, now, session);
-        (node.alive, node.paused, node.version, node.was_paused) = (true, 0, 0, false);
-        node.life += 1;
+        (node.reducer, node.started_at, node.session) = (reducer, now, session);
+        (node.alive, node.paused_until, node.config_version, node.was_paused) = (true, 0, 0, false);
+        node.incarnation += 1;
         self.begin_entry(index);
     }
 
-    /// Ends every side process of an endpoint without warning; its engine goes on.
+    /// Kills all side processes of an endpoint; its engine keeps running.
     pub fn kill_sides(&mut self, endpoint: usize) {
         for side in self.sides.iter_mut().filter(|side| side.endpoint == endpoint) {
             side.alive = false;
-            side.life += 1;
+            side.incarnation += 1;
         }
     }
 
-    /// Ends an endpoint's instance, its engine too; the platform's list tells of it later.
+    /// Kills an endpoint's instance with its engine; the platform's instance list follows later.
     pub fn kill_endpoint(&mut self, endpoint: usize) {
         self.kill_sides(endpoint);
-        self.engines[endpoint].lose();
-        let lag = self.rng.random_range(1_000..10_000);
-        self.schedule(lag, Happening::Unlist(format!("worker-{endpoint}")));
+        self.engines[endpoint].terminate();
+        let delay = self.rng.random_range(1_000..10_000);
+        self.schedule(delay, SimEvent::RemoveInstance(format!("worker-{endpoint}")));
     }
 
-    /// Stops a process from running for a while; it notices nothing.
+    /// Pauses an entry process for a time; the process is not informed.
     pub fn pause_entry(&mut self, index: usize, millis: u64) {
-        self.entries[index].paused = self.now + millis;
+        self.entries[index].paused_until = self.now + millis;
         self.entries[index].was_paused = true;
     }
 
-    /// Whether an entry was paused, so that its answers may be late.
+    /// Returns whether an entry was paused, so that its answers may be late.
     pub(crate) fn was_paused(&self, index: usize) -> bool {
         self.entries[index].was_paused
     }
 
-    /// Whether a change of the text took shares away that were in use.
-    pub(crate) fn faults_changed_shares(&self) -> bool {
-        self.texts.len() > 1
+    /// Returns whether the configuration was changed, which may reduce shares that are in use.
+    pub(crate) fn config_changed(&self) -> bool {
+        self.configs.len() > 1
     }
 
-    /// Stops the side processes of an endpoint from running for a while.
+    /// Pauses the running side processes of an endpoint for a time.
     pub fn pause_sides(&mut self, endpoint: usize, millis: u64) {
         let until = self.now + millis;
         for side in self.sides.iter_mut().filter(|side| side.endpoint == endpoint && side.alive) {
-            side.paused = until;
+            side.paused_until = until;
         }
     }
 
-    /// Restarts an endpoint's engine: it holds nothing any more.
+    /// Restarts an endpoint's engine with no models loaded.
     pub fn restart_engine(&mut self, endpoint: usize) {
         self.engines[endpoint].restart();
     }
 
-    /// Begins a planned stop of an endpoint's side.
+    /// Starts to drain the running sides of an endpoint.
     pub fn drain_endpoint(&mut self, endpoint: usize, give_back: bool) {
-        let living = (0..self.sides.len())
+        let running = (0..self.sides.len())
             .filter(|index| self.sides[*index].endpoint == endpoint && self.sides[*index].alive);
-        for index in living.collect::<Vec<_>>() {
+        for index in running.collect::<Vec<_>>() {
             self.step_side(index, SideEvent::Drain { give_back });
         }
     }
 
-    /// Begins a planned stop of an entry.
+    /// Starts to drain an entry.
     pub fn drain_entry(&mut self, index: usize) {
         if self.entries[index].alive {
             self.step_entry(index, Event::Drain);
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -1,7 +1,7 @@
-//! A handful of reducers, a table and toy engines on virtual time.
+//! Simulation of reducers, a table and engines on virtual time.
 //!
-//! The world carries out effects with delays and, where asked to, with faults. It decides nothing:
-//! whatever is decided, the reducers of `citronrill-decide` decide, and [`crate::oracle`] judges.
+//! The simulation executes the effects of the reducers with delays and injected faults. It makes no
+//! decisions of its own: the reducers of `citronrill-decide` decide, and [`crate::oracle`] checks.
 
 mod calls;
 mod effects;
@@ -29,159 +29,159 @@
 use prost::Message;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use self::frames::{count_kinds, frame_bytes, rows_frame};
+use self::frames::{count_bytes_by_kind, frame_bytes, rows_frame};
 use crate::{
-    engine::{Engine, LoadStart},
+    engine::{Engine, LoadOrder},
     faults::Faults,
 };
 
-/// Time after which a transaction without an answer counts as unknown.
+/// Time after which the outcome of a transaction without an answer is unknown, in milliseconds.
 const TABLE_TIMEOUT_MS: u64 = 2_500;
-/// Time after which a silent side is asked again on another connection.
-const SILENCE_MS: u64 = 2_500;
-/// How often entries read the platform's list.
-const LIST_MS: u64 = 2_000;
-/// Parts of a share.
+/// Time without a response after which a side is queried on another connection, in milliseconds.
+const RESPONSE_TIMEOUT_MS: u64 = 2_500;
+/// Interval at which entries read the platform's instance list, in milliseconds.
+const INSTANCE_LIST_MS: u64 = 2_000;
+/// Number of parts of a share.
 const SHARE_PARTS: u32 = 4;
 
-/// How a world is built.
-pub struct WorldOptions {
-    /// Seed of delays and faults.
+/// Options of a simulation.
+pub struct SimulationOptions {
+    /// Seed of random delays and faults.
     pub seed: u64,
-    /// The operators' text.
-    pub text: String,
-    /// Entries at the start.
+    /// The operators' configuration.
+    pub config: String,
+    /// Number of entries at the start.
     pub entries: usize,
     /// Endpoints at the start, as (memory in MB, checks fencing numbers).
     pub endpoints: Vec<(u64, bool)>,
-    /// Availability zones, taken in turn.
+    /// Availability zones, assigned in turn.
     pub zones: Vec<String>,
-    /// Requests that an endpoint runs at once.
+    /// Concurrent requests of an endpoint.
     pub slots: u64,
-    /// Time between two ticks of an entry and of a side, in milliseconds.
-    pub ticks: (u64, u64),
-    /// Makes the rules of each entry.
+    /// Tick intervals of an entry and of a side, in milliseconds.
+    pub tick_ms: (u64, u64),
+    /// Creates the policies of each entry.
     pub policies: fn() -> Policies,
-    /// Keeps finished requests, for oracles.
-    pub keep_calls: bool,
+    /// Whether finished requests are kept for the oracle.
+    pub keep_finished: bool,
 }
 
-/// One request as its caller sees it.
+/// A request as seen by its caller.
 #[derive(Debug, Clone)]
-pub struct Caller {
-    /// When it was made.
+pub struct RequestRecord {
+    /// Arrival time.
     pub arrived: u64,
-    /// When it must be answered.
+    /// Deadline of the answer.
     pub deadline: u64,
-    /// The entry that took it, and that process's incarnation.
+    /// The entry that received it, and the entry's incarnation.
     pub entry: (usize, u64),
     /// The model's name.
     pub model: String,
-    /// Whether it may be sent twice.
+    /// Whether it may be retried.
     pub repeatable: bool,
     /// Its idempotency key.
-    pub once: Option<u64>,
-    /// How often an engine has run it.
+    pub idempotency_key: Option<u64>,
+    /// How often engines have run it.
     pub runs: u32,
-    /// When the first part came.
-    pub began: Option<u64>,
-    /// How it ended, and when.
-    pub ended: Option<(u64, Ending)>,
-    /// Whether the model served when it came.
+    /// Time of the first byte of the answer.
+    pub first_byte_at: Option<u64>,
+    /// Time and outcome of its end.
+    pub ended: Option<(u64, RequestOutcome)>,
+    /// Whether a replica of the model was ready on arrival.
     pub warm: bool,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
-    /// With its whole answer.
-    Whole,
-    /// With the first answer under its idempotency key.
+pub enum RequestOutcome {
+    /// It was answered completely.
+    Completed,
+    /// It was answered with the stored answer of its idempotency key.
     Replayed,
-    /// With a refusal.
+    /// It was refused.
     Refused(Refusal),
 }
 
 pub(crate) struct EntryNode {
-    pub(crate) core: Entry,
+    pub(crate) reducer: Entry,
     pub(crate) name: String,
-    start: u64,
-    pub(crate) life: u64,
-    paused: u64,
+    started_at: u64,
+    pub(crate) incarnation: u64,
+    paused_until: u64,
     pub(crate) alive: bool,
     session: u64,
     was_paused: bool,
-    pub(crate) version: u64,
+    pub(crate) config_version: u64,
 }
 
 pub(crate) struct SideNode {
-    pub(crate) core: Side,
+    pub(crate) reducer: Side,
     pub(crate) endpoint: usize,
-    start: u64,
-    pub(crate) life: u64,
-    paused: u64,
+    started_at: u64,
+    pub(crate) incarnation: u64,
+    paused_until: u64,
     pub(crate) alive: bool,
     profile: SideProfile,
-    offers: Map<CallId, Sending>,
+    attempts: Map<CallId, Attempt>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Sending {
+struct Attempt {
     entry: usize,
-    life: u64,
+    incarnation: u64,
     id: RequestId,
     call: u64,
     session: u64,
 }
 
-/// A side of an endpoint; more than one can live at once.
+/// Index of a side. An endpoint can have several running sides.
 pub(crate) type SideIndex = usize;
 
 #[derive(Debug)]
-enum Happening {
+enum SimEvent {
     EntryTick(usize, u64),
     SideTick(SideIndex, u64),
-    List(usize, u64),
+    ReadInstances(usize, u64),
     ToEntry(usize, u64, Event),
     ToAddress(String, Event),
     ToSide(SideIndex, u64, SideEvent),
-    Pull { from: usize, life: u64, id: u64, to: String, since: u64 },
-    Changes { from: usize, life: u64, id: u64, since: u64 },
-    EntryCommit { from: usize, life: u64, id: u64, txn: Txn },
-    EntryRead { from: usize, life: u64, keys: Vec<String> },
-    ClaimRead { from: usize, life: u64, id: RequestId, key: String },
-    SideCommit { from: SideIndex, life: u64, id: u64, txn: Txn },
-    SideRead { from: SideIndex, life: u64, id: u64, keys: Vec<String> },
-    EngineList { from: SideIndex, life: u64 },
-    EngineLoad { from: SideIndex, life: u64, order: LoadStart },
-    EngineLoaded { from: SideIndex, life: u64, endpoint: usize, order: u64, model: String },
-    EngineUnload { from: SideIndex, life: u64, order: u64, model: String, fence: u64 },
-    Offer { to: String, sending: Sending, offer: Offer },
-    Silence { sending: Sending, to: String, expires: u64 },
-    CancelCall { to: String, sending: Sending, expires: u64, forward: bool },
-    RunEnds { side: SideIndex, life: u64, call: CallId },
-    Unlist(String),
-    TableUp,
-    LateTxn(Txn),
+    Pull { from: usize, incarnation: u64, id: u64, to: String, since: u64 },
+    ReadChanges { from: usize, incarnation: u64, id: u64, since: u64 },
+    EntryCommit { from: usize, incarnation: u64, id: u64, txn: Txn },
+    EntryRead { from: usize, incarnation: u64, keys: Vec<String> },
+    ClaimRead { from: usize, incarnation: u64, id: RequestId, key: String },
+    SideCommit { from: SideIndex, incarnation: u64, id: u64, txn: Txn },
+    SideRead { from: SideIndex, incarnation: u64, id: u64, keys: Vec<String> },
+    EngineList { from: SideIndex, incarnation: u64 },
+    EngineLoad { from: SideIndex, incarnation: u64, order: LoadOrder },
+    EngineLoaded { from: SideIndex, incarnation: u64, endpoint: usize, order: u64, model: String },
+    EngineUnload { from: SideIndex, incarnation: u64, order: u64, model: String, fence: u64 },
+    Offer { to: String, attempt: Attempt, offer: Offer },
+    ResponseTimeout { attempt: Attempt, to: String, expires: u64 },
+    CancelCall { to: String, attempt: Attempt, expires: u64, forward: bool },
+    CallFinished { side: SideIndex, incarnation: u64, call: CallId },
+    RemoveInstance(String),
+    TableRestored,
+    LateCommit(Txn),
 }
 
-/// Operations on the table by purpose.
+/// Number of table operations by purpose.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Operations {
     /// Polls for changes.
     pub polls: u64,
-    /// Reads of rows.
+    /// Reads of rows by key.
     pub reads: u64,
     /// Transactions of entries.
     pub entry_commits: u64,
     /// Transactions of sides.
     pub side_commits: u64,
-    /// Transactions that met a conflict.
+    /// Transactions that failed with a conflict.
     pub conflicts: u64,
 }
 
 impl Operations {
-    /// What was done after `before`.
+    /// Returns the operations since `before`.
     pub fn since(self, before: Operations) -> Operations {
         Operations {
             polls: self.polls - before.polls,
@@ -196,133 +196,133 @@
 /// Control traffic and reducer time so far.
 #[derive(Debug, Clone, Default)]
 pub struct Meters {
-    /// Bytes that each entry has sent and taken.
+    /// Bytes sent and received by each entry.
     pub entry_bytes: Vec<u64>,
-    /// Bytes that all sides have sent and taken.
+    /// Bytes sent by all sides.
     pub side_bytes: u64,
-    /// Bytes that entries have taken, by what they were for.
+    /// Bytes sent and received by entries, by purpose.
     pub by_kind: BTreeMap<&'static str, u64>,
-    /// Time of all entries' reducers, in nanoseconds.
+    /// Time spent in the reducers of all entries, in nanoseconds.
     pub entry_nanos: u64,
-    /// Time of all sides' reducers, in nanoseconds.
+    /// Time spent in the reducers of all sides, in nanoseconds.
     pub side_nanos: u64,
 }
 
-/// The world.
-pub struct World {
+/// A simulation.
+pub struct Simulation {
     pub(crate) now: u64,
     pub(crate) rng: SmallRng,
     pub(crate) table: MemoryTable,
-    texts: BTreeMap<u64, String>,
+    configs: BTreeMap<u64, String>,
     pub(crate) catalogue: Catalogue,
     pub(crate) registry: Registry,
     pub(crate) entries: Vec<EntryNode>,
     pub(crate) sides: Vec<SideNode>,
     pub(crate) engines: Vec<Engine>,
-    /// Faults in force.
+    /// Active faults.
     pub faults: Faults,
-    /// Requests by their number.
-    pub callers: BTreeMap<RequestId, Caller>,
-    /// Operations on the table.
+    /// Requests by ID.
+    pub requests: BTreeMap<RequestId, RequestRecord>,
+    /// Table operations so far.
     pub operations: Operations,
-    /// Events that reducers have taken.
+    /// Number of events processed by reducers.
     pub steps: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: Map<u64, Happening>,
-    next: u64,
+    scheduled: Map<u64, SimEvent>,
+    next_event: u64,
     next_request: u64,
-    listed: BTreeMap<String, Listed>,
-    pulls: Map<u64, (usize, u64, u64)>,
-    sessions: Map<CallId, u64>,
+    instances: BTreeMap<String, Listed>,
+    pending_pulls: Map<u64, (usize, u64, u64)>,
+    call_sessions: Map<CallId, u64>,
     meters: Meters,
-    watch: String,
-    watched: (u64, u64),
-    finished: Vec<(u64, Caller)>,
-    options: WorldOptions,
+    watched_key: String,
+    watched_commits: (u64, u64),
+    finished: Vec<(u64, RequestRecord)>,
+    options: SimulationOptions,
     idle_ms: f64,
-    idle_at: u64,
-    /// What an oracle found wrong while something happened.
+    idle_counted_at: u64,
+    /// Violations detected while events were processed.
     pub violations: Vec<String>,
 }
 
-impl World {
-    /// A world in which everything has just been started.
+impl Simulation {
+    /// Returns a simulation in which all processes have just started.
     ///
     /// # Panics
-    /// The text has errors.
-    pub fn new(mut options: WorldOptions) -> World {
-        options.text = with_world_keys(&options.text);
+    /// The configuration has errors.
+    pub fn new(mut options: SimulationOptions) -> Simulation {
+        options.config = with_test_api_keys(&options.config);
         let mut registry = Registry::default();
-        let catalogue = Catalogue::compile("world", &options.text, 1, &mut registry)
-            .unwrap_or_else(|errors| panic!("the world's text: {errors}"));
-        let mut world = World {
+        let catalogue = Catalogue::compile("world", &options.config, 1, &mut registry)
+            .unwrap_or_else(|errors| panic!("invalid configuration of the simulation: {errors}"));
+        let mut sim = Simulation {
             now: 0,
             rng: SmallRng::seed_from_u64(options.seed),
             table: MemoryTable::default(),
-            texts: BTreeMap::new(),
+            configs: BTreeMap::new(),
             catalogue,
             registry,
             entries: Vec::new(),
             sides: Vec::new(),
             engines: Vec::new(),
             faults: Faults::default(),
-            callers: BTreeMap::new(),
+            requests: BTreeMap::new(),
             operations: Operations::default(),
             steps: 0,
             queue: BinaryHeap::new(),
-            happenings: Map::default(),
-            next: 0,
+            scheduled: Map::default(),
+            next_event: 0,
             next_request: 0,
-            listed: BTreeMap::new(),
-            pulls: Map::default(),
-            sessions: Map::default(),
+            instances: BTreeMap::new(),
+            pending_pulls: Map::default(),
+            call_sessions: Map::default(),
             meters: Meters::default(),
-            watch: String::new(),
-            watched: (0, 0),
+            watched_key: String::new(),
+            watched_commits: (0, 0),
             finished: Vec::new(),
             idle_ms: 0.0,
-            idle_at: 0,
+            idle_counted_at: 0,
             violations: Vec::new(),
             options,
         };
-        let text = world.options.text.clone();
-        world.apply(&text);
-        for (memory_mb, fencing) in world.options.endpoints.clone() {
-            world.add_endpoint(memory_mb, fencing);
+        let config = sim.options.config.clone();
+        sim.apply_config(&config);
+        for (memory_mb, fencing) in sim.options.endpoints.clone() {
+            sim.add_endpoint(memory_mb, fencing);
         }
-        for _ in 0..world.options.entries {
-            world.add_entry();
+        for _ in 0..sim.options.entries {
+            sim.add_entry();
         }
-        world
+        sim
     }
 
-    /// Virtual time in milliseconds.
+    /// Returns the virtual time in milliseconds.
     pub fn now(&self) -> u64 {
         self.now
     }
 
-    fn schedule(&mut self, delay: u64, happening: Happening) {
-        self.next += 1;
-        self.queue.push(Reverse((self.now + delay, self.next)));
-        self.happenings.insert(self.next, happening);
+    fn schedule(&mut self, delay: u64, scheduled: SimEvent) {
+        self.next_event += 1;
+        self.queue.push(Reverse((self.now + delay, self.next_event)));
+        self.scheduled.insert(self.next_event, scheduled);
     }
 
-    /// A delay on the network, in milliseconds.
-    fn hop(&mut self) -> u64 {
-        let slow = self.faults.slow_part;
+    /// Returns a random network delay, in milliseconds.
+    fn network_delay(&mut self) -> u64 {
+        let slow = self.faults.delayed_messages;
         if slow > 0.0 && self.rng.random_bool(slow) {
-            return self.rng.random_range(50..self.faults.slow_ms.max(51));
+            return self.rng.random_range(50..self.faults.max_delay_ms.max(51));
         }
         1
     }
 
-    /// Makes a request at an entry; gives its number, or `None` if the entry does not live.
+    /// Sends a request to an entry. Returns its ID, or `None` if the entry is not running.
     pub fn request(
         &mut self,
         entry: usize,
         model: &str,
         deadline_ms: Option<u64>,
-        once: Option<u64>,
+        idempotency_key: Option<u64>,
     ) -> Option<RequestId> {
         let node = &self.entries[entry];
         if !node.alive {
@@ -336,39 +336,39 @@
         let service = spec.and_then(|spec| self.catalogue.services.get(&spec.service));
         let limit = service.map_or(30_000, |service| service.deadline_ms);
         let warm = key.is_some_and(|key| {
-            let mut replicas = node.core.view().replicas(key);
+            let mut replicas = node.reducer.view().replicas(key);
             replicas.any(|(_, phase)| phase == citronrill_decide::rows::Phase::Ready)
         });
-        let api_key = org.map_or(String::new(), |org| world_key(&org.name));
-        let caller = Caller {
+        let api_key = org.map_or(String::new(), |org| test_api_key(&org.name));
+        let request = RequestRecord {
             arrived: self.now,
             deadline: self.now + deadline_ms.unwrap_or(limit).min(limit),
-            entry: (entry, node.life),
+            entry: (entry, node.incarnation),
             model: model.to_owned(),
             repeatable: service.is_none_or(|service| service.repeatable),
-            once,
+            idempotency_key,
             runs: 0,
-            began: None,
+            first_byte_at: None,
             ended: None,
             warm,
         };
-        self.callers.insert(id, caller);
+        self.requests.insert(id, request);
         let arrival = Arrival {
             id,
             key: hash_api_key(&api_key),
             wish: Wish::Model(model.to_owned()),
             deadline_ms,
-            once,
-            content: once.unwrap_or(0),
+            once: idempotency_key,
+            content: idempotency_key.unwrap_or(0),
             prefix: 0,
         };
-        let life = self.entries[entry].life;
-        self.schedule(0, Happening::ToEntry(entry, life, Event::Arrive(arrival)));
+        let incarnation = self.entries[entry].incarnation;
+        self.schedule(0, SimEvent::ToEntry(entry, incarnation, Event::Arrive(arrival)));
         Some(id)
     }
 
-    /// Runs for `millis`.
-    pub fn run(&mut self, millis: u64) {
+    /// Advances virtual time by `millis` and processes the events that are due.
+    pub fn advance(&mut self, millis: u64) {
         let until = self.now + millis;
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
             if at > until {
@@ -376,149 +376,168 @@
             }
             self.queue.pop();
             self.now = self.now.max(at);
-            if let Some(happening) = self.happenings.remove(&id) {
-                self.happen(happening);
+            if let Some(scheduled) = self.scheduled.remove(&id) {
+                self.process(scheduled);
             }
         }
         self.now = until;
-        self.count_idle();
+        self.accumulate_idle();
     }
 
-    /// Requests that have ended since the last call, with their numbers.
-    pub fn take_finished_numbered(&mut self) -> Vec<(u64, Caller)> {
+    /// Returns the requests that have ended since the last call, with their IDs.
+    ///
+    /// It is empty if finished requests are kept.
+    pub fn take_finished(&mut self) -> Vec<(u64, RequestRecord)> {
         std::mem::take(&mut self.finished)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::EntryTick(index, life) => self.entry_tick(index, life),
-            Happening::SideTick(index, life) => self.side_tick(index, life),
-            Happening::List(index, life) => {
-                if self.entry_lives(index, life) {
-                    let list = self.listed.values().cloned().collect();
-                    let lag = self.rng.random_range(10..1_500);
-                    self.schedule(lag, Happening::ToEntry(index, life, Event::Instances(list)));
-                    self.schedule(LIST_MS, Happening::List(index, life));
+    fn process(&mut self, scheduled: SimEvent) {
+        match scheduled {
+            SimEvent::EntryTick(index, incarnation) => self.entry_tick(index, incarnation),
+            SimEvent::SideTick(index, incarnation) => self.side_tick(index, incarnation),
+            SimEvent::ReadInstances(index, incarnation) => {
+                if self.entry_running(index, incarnation) {
+                    let list = self.instances.values().cloned().collect();
+                    let delay = self.rng.random_range(10..1_500);
+                    self.schedule(
+                        delay,
+                        SimEvent::ToEntry(index, incarnation, Event::Instances(list)),
+                    );
+                    self.schedule(INSTANCE_LIST_MS, SimEvent::ReadInstances(index, incarnation));
                 }
             }
-            Happening::ToEntry(index, life, event) => self.deliver_entry(index, life, event),
-            Happening::ToAddress(address, event) => {
+            SimEvent::ToEntry(index, incarnation, event) => {
+                self.deliver_entry(index, incarnation, event)
+            }
+            SimEvent::ToAddress(address, event) => {
                 let index = self.entries.iter().position(|it| it.alive && it.name == address);
                 if let Some(index) = index {
-                    let life = self.entries[index].life;
-                    self.deliver_entry(index, life, event);
+                    let incarnation = self.entries[index].incarnation;
+                    self.deliver_entry(index, incarnation, event);
                 }
             }
-            Happening::ToSide(index, life, event) => self.deliver_side(index, life, event),
-            Happening::Pull { from, life, id, to, since } => self.pull(from, life, id, &to, since),
-            Happening::Changes { from, life, id, since } => self.changes(from, life, id, since),
-            Happening::EntryCommit { from, life, id, txn } => {
+            SimEvent::ToSide(index, incarnation, event) => {
+                self.deliver_side(index, incarnation, event)
+            }
+            SimEvent::Pull { from, incarnation, id, to, since } => {
+                self.pull(from, incarnation, id, &to, since)
+            }
+            SimEvent::ReadChanges { from, incarnation, id, since } => {
+                self.read_changes(from, incarnation, id, since)
+            }
+            SimEvent::EntryCommit { from, incarnation, id, txn } => {
                 self.operations.entry_commits += 1;
-                let watched = txn.writes.iter().any(|write| write.key == self.watch);
+                let watched = txn.writes.iter().any(|write| write.key == self.watched_key);
                 let (delay, outcome) = self.commit(txn);
                 if watched {
-                    self.watched.0 += 1;
-                    self.watched.1 += u64::from(outcome == Outcome::Conflict);
+                    self.watched_commits.0 += 1;
+                    self.watched_commits.1 += u64::from(outcome == Outcome::Conflict);
                 }
                 let event = Event::Committed(id, outcome);
-                self.schedule(delay, Happening::ToEntry(from, life, event));
+                self.schedule(delay, SimEvent::ToEntry(from, incarnation, event));
             }
-            Happening::EntryRead { from, life, keys } => {
+            SimEvent::EntryRead { from, incarnation, keys } => {
                 if let Some(rows) = self.read(&keys) {
-                    let delay = self.table_hop();
-                    self.schedule(delay, Happening::ToEntry(from, life, Event::Rows(rows)));
+                    let delay = self.table_delay();
+                    self.schedule(delay, SimEvent::ToEntry(from, incarnation, Event::Rows(rows)));
                 }
             }
-            Happening::ClaimRead { from, life, id, key } => {
+            SimEvent::ClaimRead { from, incarnation, id, key } => {
                 let row = self.read(&[key]).and_then(|mut rows| rows.pop());
-                let delay = if row.is_some() { self.table_hop() } else { TABLE_TIMEOUT_MS };
+                let delay = if row.is_some() { self.table_delay() } else { TABLE_TIMEOUT_MS };
                 let event = Event::ClaimRead(id, row);
-                self.schedule(delay, Happening::ToEntry(from, life, event));
+                self.schedule(delay, SimEvent::ToEntry(from, incarnation, event));
             }
-            Happening::SideCommit { from, life, id, txn } => {
+            SimEvent::SideCommit { from, incarnation, id, txn } => {
                 self.operations.side_commits += 1;
                 let (delay, outcome) = self.commit(txn);
                 let event = SideEvent::Committed(id, outcome);
-                self.schedule(delay, Happening::ToSide(from, life, event));
+                self.schedule(delay, SimEvent::ToSide(from, incarnation, event));
             }
-            Happening::SideRead { from, life, id, keys } => {
+            SimEvent::SideRead { from, incarnation, id, keys } => {
                 let event = match self.read(&keys) {
                     Some(rows) => SideEvent::Rows(id, rows),
                     None => SideEvent::ReadFailed(id),
                 };
-                let delay = self.table_hop();
-                self.schedule(delay, Happening::ToSide(from, life, event));
+                let delay = self.table_delay();
+                self.schedule(delay, SimEvent::ToSide(from, incarnation, event));
+            }
+            SimEvent::EngineList { from, incarnation } => self.engine_list(from, incarnation),
+            SimEvent::EngineLoad { from, incarnation, order } => {
+                self.engine_load(from, incarnation, &order)
             }
-            Happening::EngineList { from, life } => self.engine_list(from, life),
-            Happening::EngineLoad { from, life, order } => self.engine_load(from, life, &order),
-            Happening::EngineLoaded { from, life, endpoint, order, model } => {
-                self.count_idle();
+            SimEvent::EngineLoaded { from, incarnation, endpoint, order, model } => {
+                self.accumulate_idle();
                 let done = self.engines[endpoint].loaded(order, &model);
                 let event = SideEvent::OrderDone { order, done };
-                self.schedule(1, Happening::ToSide(from, life, event));
+                self.schedule(1, SimEvent::ToSide(from, incarnation, event));
             }
-            Happening::EngineUnload { from, life, order, model, fence } => {
-                self.count_idle();
+            SimEvent::EngineUnload { from, incarnation, order, model, fence } => {
+                self.accumulate_idle();
                 let endpoint = self.sides[from].endpoint;
                 let done = self.engines[endpoint].unload(&model, fence);
                 let event = SideEvent::OrderDone { order, done };
-                self.schedule(1, Happening::ToSide(from, life, event));
+                self.schedule(1, SimEvent::ToSide(from, incarnation, event));
+            }
+            SimEvent::Offer { to, attempt, offer } => self.offer(&to, attempt, offer),
+            SimEvent::ResponseTimeout { attempt, to, expires } => {
+                self.response_timeout(attempt, &to, expires)
+            }
+            SimEvent::CancelCall { to, attempt, expires, forward } => {
+                self.cancel_call(&to, attempt, expires, forward);
             }
-            Happening::Offer { to, sending, offer } => self.offer(&to, sending, offer),
-            Happening::Silence { sending, to, expires } => self.silence(sending, &to, expires),
-            Happening::CancelCall { to, sending, expires, forward } => {
-                self.cancel_call(&to, sending, expires, forward);
+            SimEvent::CallFinished { side, incarnation, call } => {
+                self.finish_call(side, incarnation, call)
             }
-            Happening::RunEnds { side, life, call } => self.run_ends(side, life, call),
-            Happening::Unlist(name) => drop(self.listed.remove(&name)),
-            Happening::TableUp => self.faults.table_down = false,
-            Happening::LateTxn(txn) => drop(self.table.commit(&txn)),
+            SimEvent::RemoveInstance(name) => drop(self.instances.remove(&name)),
+            SimEvent::TableRestored => self.faults.table_down = false,
+            SimEvent::LateCommit(txn) => drop(self.table.commit(&txn)),
         }
     }
 
-    fn entry_lives(&self, index: usize, life: u64) -> bool {
-        self.entries[index].alive && self.entries[index].life == life
+    fn entry_running(&self, index: usize, incarnation: u64) -> bool {
+        self.entries[index].alive && self.entries[index].incarnation == incarnation
     }
 
-    fn side_lives(&self, index: SideIndex, life: u64) -> bool {
-        self.sides[index].alive && self.sides[index].life == life
+    fn side_running(&self, index: SideIndex, incarnation: u64) -> bool {
+        self.sides[index].alive && self.sides[index].incarnation == incarnation
     }
 
-    fn entry_tick(&mut self, index: usize, life: u64) {
-        if !self.entry_lives(index, life) {
+    fn entry_tick(&mut self, index: usize, incarnation: u64) {
+        if !self.entry_running(index, incarnation) {
             return;
         }
         let minute = (self.now / 60_000 % 1_440) as u16;
-        self.deliver_entry(index, life, Event::Tick { minute });
-        self.schedule(self.options.ticks.0, Happening::EntryTick(index, life));
+        self.deliver_entry(index, incarnation, Event::Tick { minute });
+        self.schedule(self.options.tick_ms.0, SimEvent::EntryTick(index, incarnation));
     }
 
-    fn side_tick(&mut self, index: SideIndex, life: u64) {
-        if !self.side_lives(index, life) {
+    fn side_tick(&mut self, index: SideIndex, incarnation: u64) {
+        if !self.side_running(index, incarnation) {
             return;
         }
-        self.deliver_side(index, life, SideEvent::Tick);
-        self.schedule(self.options.ticks.1, Happening::SideTick(index, life));
+        self.deliver_side(index, incarnation, SideEvent::Tick);
+        self.schedule(self.options.tick_ms.1, SimEvent::SideTick(index, incarnation));
     }
 
-    fn deliver_entry(&mut self, index: usize, life: u64, event: Event) {
-        if !self.entry_lives(index, life) {
+    fn deliver_entry(&mut self, index: usize, incarnation: u64, event: Event) {
+        if !self.entry_running(index, incarnation) {
             return;
         }
-        if self.entries[index].paused > self.now {
-            let delay = self.entries[index].paused - self.now;
-            return self.schedule(delay, Happening::ToEntry(index, life, event));
+        if self.entries[index].paused_until > self.now {
+            let delay = self.entries[index].paused_until - self.now;
+            return self.schedule(delay, SimEvent::ToEntry(index, incarnation, event));
         }
         self.step_entry(index, event);
     }
 
-    fn deliver_side(&mut self, index: SideIndex, life: u64, event: SideEvent) {
-        if !self.side_lives(index, life) {
+    fn deliver_side(&mut self, index: SideIndex, incarnation: u64, event: SideEvent) {
+        if !self.side_running(index, incarnation) {
             return;
         }
-        if self.sides[index].paused > self.now {
-            let delay = self.sides[index].paused - self.now;
-            return self.schedule(delay, Happening::ToSide(index, life, event));
+        if self.sides[index].paused_until > self.now {
+            let delay = self.sides[index].paused_until - self.now;
+            return self.schedule(delay, SimEvent::ToSide(index, incarnation, event));
         }
         self.step_side(index, event);
     }
@@ -527,18 +546,21 @@
         self.steps += 1;
         let mut effects = Vec::new();
         let node = &mut self.entries[index];
-        let begun = Instant::now();
-        node.core.step(Millis(self.now - node.start), event, &mut effects);
-        self.meters.entry_nanos += begun.elapsed().as_nanos() as u64;
-        let version = node.core.version();
-        if version < node.version {
-            let text = format!("{} went back from {} to {version}", node.name, node.version);
-            self.violations.push(text);
+        let started = Instant::now();
+        node.reducer.step(Millis(self.now - node.started_at), event, &mut effects);
+        self.meters.entry_nanos += started.elapsed().as_nanos() as u64;
+        let version = node.reducer.version();
+        if version < node.config_version {
+            let violation = format!(
+                "the configuration of {} went back from version {} to {version}",
+                node.name, node.config_version
+            );
+            self.violations.push(violation);
         }
-        self.entries[index].version = version;
-        let life = self.entries[index].life;
+        self.entries[index].config_version = version;
+        let incarnation = self.entries[index].incarnation;
         for effect in effects {
-            self.entry_effect(index, life, effect);
+            self.entry_effect(index, incarnation, effect);
         }
     }
 
@@ -546,37 +568,37 @@
         self.steps += 1;
         let mut effects = Vec::new();
         let node = &mut self.sides[index];
-        let begun = Instant::now();
-        node.core.step(Millis(self.now - node.start), event, &mut effects);
-        self.meters.side_nanos += begun.elapsed().as_nanos() as u64;
-        let life = node.life;
+        let started = Instant::now();
+        node.reducer.step(Millis(self.now - node.started_at), event, &mut effects);
+        self.meters.side_nanos += started.elapsed().as_nanos() as u64;
+        let incarnation = node.incarnation;
         for effect in effects {
-            self.side_effect(index, life, effect);
+            self.side_effect(index, incarnation, effect);
         }
     }
 }
 
-/// The API key of an organisation of a world.
-pub fn world_key(org: &str) -> String {
+/// Returns the API key of an organisation in simulations.
+pub fn test_api_key(org: &str) -> String {
     format!("key-{org}")
 }
 
-/// Gives every organisation of a text the key that a world's callers use.
-pub fn with_world_keys(text: &str) -> String {
+/// Adds the API key of [`test_api_key`] to every organisation of a configuration.
+pub fn with_test_api_keys(config: &str) -> String {
     let mut result = String::new();
-    for line in text.lines() {
+    for line in config.lines() {
         result.push_str(line);
         result.push('\n');
         let name = line.strip_prefix("[organisation ").and_then(|rest| rest.strip_suffix(']'));
         if let Some(name) = name {
-            let hash = hash_api_key(&world_key(name)).to_hex();
+            let hash = hash_api_key(&test_api_key(name)).to_hex();
             result.push_str(&format!("key.world = sha256:{hash}\n"));
         }
     }
     result
 }
 
-/// A cached copy, as an engine reports it.
+/// Returns the cached weights of a model, as reported by an engine.
 pub(crate) fn cached(model: &str, tier: Tier) -> Cached {
     Cached { model: model.to_owned(), tier: tier.into() }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: memory, loads, caches, and answers that echo their question.
+//! A model engine with memory, loads and caches, which echoes each prompt as its answer.
 
 use std::{
     collections::BTreeMap,
@@ -15,48 +15,48 @@
 use serde_json::{Value, json};
 use tiny_http::Request;
 
-use crate::server::{StandinError, Threads, body};
+use crate::server::{HttpServer, StandinError, read_body};
 
-/// Threads of the server; each answer and each load holds one.
+/// Threads of the server; each answer and each load occupies one.
 const THREADS: usize = 96;
-/// How much faster a load from the disk cache is.
+/// Speedup of a load from the disk cache.
 const DISK_SPEEDUP: u64 = 3;
-/// How much faster a load from the memory cache is.
+/// Speedup of a load from the RAM cache.
 const RAM_SPEEDUP: u64 = 12;
-/// Models whose weights stay in the memory cache.
-const RAM_CACHE: usize = 4;
-/// How often a load that the weight store refuses for its rate is tried again.
-const LOAD_TRIES: usize = 20;
+/// Number of models whose weights stay in the RAM cache.
+const RAM_CACHE_MODELS: usize = 4;
+/// Maximum attempts to load from the weight store while it refuses the load for its rate limit.
+const MAX_LOAD_ATTEMPTS: usize = 20;
 
-/// How an engine behaves.
+/// Options of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
     /// Accelerator memory, in MB.
     pub memory_mb: u64,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with an outdated fencing number is refused.
     pub fencing: bool,
     /// Time of a load from the weight store, in milliseconds.
     pub load_ms: u64,
     /// Time between two tokens, in milliseconds.
     pub token_ms: u64,
-    /// The weight store.
+    /// Address of the weight store, if any.
     pub weights: Option<SocketAddr>,
 }
 
 #[derive(Debug, Clone)]
-struct Loaded {
+struct ModelState {
     ready: bool,
     memory_mb: u64,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    models: BTreeMap<String, Loaded>,
+    models: BTreeMap<String, ModelState>,
     ram: Vec<String>,
     disk: Vec<String>,
     fence: u64,
-    most_mb: u64,
-    orders: u64,
+    max_used_mb: u64,
+    loads_started: u64,
 }
 
 struct Engine {
@@ -68,7 +68,7 @@
 /// A running engine stand-in.
 pub struct EngineStandin {
     engine: Arc<Engine>,
-    threads: Threads,
+    server: HttpServer,
 }
 
 impl EngineStandin {
@@ -80,31 +80,31 @@
         let answers = AtomicU64::new(0);
         let engine = Arc::new(Engine { options, state: Mutex::default(), answers });
         let shared = engine.clone();
-        let threads = Threads::start("engine", address, THREADS, move |it| shared.handle(it))?;
-        Ok(EngineStandin { engine, threads })
+        let server = HttpServer::start("engine", address, THREADS, move |it| shared.handle(it))?;
+        Ok(EngineStandin { engine, server })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
-        self.threads.address
+        self.server.address
     }
 
-    /// The most memory that was ever in use, in MB.
+    /// Returns the maximum memory in use so far, in MB.
     pub fn most_memory(&self) -> u64 {
-        self.engine.lock().most_mb
+        self.engine.lock().max_used_mb
     }
 
-    /// Loads that were begun.
+    /// Returns the number of loads started.
     pub fn loads(&self) -> u64 {
-        self.engine.lock().orders
+        self.engine.lock().loads_started
     }
 
-    /// Calls that were run.
+    /// Returns the number of answered calls.
     pub fn answers(&self) -> u64 {
         self.engine.answers.load(Ordering::Acquire)
     }
 
-    /// Models that serve.
+    /// Returns the names of the ready models.
     pub fn models(&self) -> Vec<String> {
         let state = self.engine.lock();
         state.models.iter().filter(|(_, it)| it.ready).map(|(name, _)| name.clone()).collect()
@@ -118,18 +118,18 @@
 
     fn handle(&self, mut request: Request) {
         let path = request.url().to_owned();
-        let content = body(&mut request);
+        let body = read_body(&mut request);
         let status = match path.as_str() {
             "/control/state" => return self.report(request),
-            "/control/load" => match serde_json::from_slice::<LoadOrder>(&content) {
+            "/control/load" => match serde_json::from_slice::<LoadOrder>(&body) {
                 Ok(order) => self.load(&order),
                 Err(_) => 400,
             },
-            "/control/unload" => match serde_json::from_slice::<UnloadOrder>(&content) {
+            "/control/unload" => match serde_json::from_slice::<UnloadOrder>(&body) {
                 Ok(order) => self.unload(&order),
                 Err(_) => 400,
             },
-            "/v1/chat/completions" | "/v1/completions" => return self.answer(request, &content),
+            "/v1/chat/completions" | "/v1/completions" => return self.answer(request, &body),
             _ => 404,
         };
         let _ = respond(request, status, &[], b"");
@@ -154,8 +154,8 @@
         let _ = respond(request, 200, &headers, report.to_string().as_bytes());
     }
 
-    /// Whether an order's fencing number is current.
-    fn current(&self, state: &mut State, fence: u64) -> bool {
+    /// Returns whether an order's fencing number is current, and records it.
+    fn accept_fence(&self, state: &mut State, fence: u64) -> bool {
         if self.options.fencing && fence < state.fence {
             return false;
         }
@@ -166,7 +166,7 @@
     fn load(&self, order: &LoadOrder) -> u16 {
         {
             let mut state = self.lock();
-            if !self.current(&mut state, order.fence) {
+            if !self.accept_fence(&mut state, order.fence) {
                 return 409;
             }
             if let Some(loaded) = state.models.get(&order.model) {
@@ -178,9 +178,9 @@
             if !base || used + order.peak_mb > self.options.memory_mb {
                 return 507;
             }
-            state.most_mb = state.most_mb.max(used + order.peak_mb);
-            state.orders += 1;
-            let loaded = Loaded { ready: false, memory_mb: order.peak_mb };
+            state.max_used_mb = state.max_used_mb.max(used + order.peak_mb);
+            state.loads_started += 1;
+            let loaded = ModelState { ready: false, memory_mb: order.peak_mb };
             state.models.insert(order.model.clone(), loaded);
         }
         let fetched = self.fetch(&order.model);
@@ -189,14 +189,14 @@
             state.models.remove(&order.model);
             return 502;
         }
-        state.keep_cached(&order.model);
+        state.add_to_caches(&order.model);
         if let Some(loaded) = state.models.get_mut(&order.model) {
-            *loaded = Loaded { ready: true, memory_mb: order.memory_mb };
+            *loaded = ModelState { ready: true, memory_mb: order.memory_mb };
         }
         200
     }
 
-    /// Reads a model's weights from the nearest copy.
+    /// Reads a model's weights from the fastest source. Returns whether it succeeded.
     fn fetch(&self, model: &str) -> bool {
         let load_ms = self.options.load_ms;
         let (ram, disk) = {
@@ -214,7 +214,7 @@
             return true;
         };
         let url = format!("http://{weights}/weights/{model}?{load_ms}");
-        for _ in 0..LOAD_TRIES {
+        for _ in 0..MAX_LOAD_ATTEMPTS {
             match attohttpc::get(&url).send().map(|response| response.status().as_u16()) {
                 Ok(200) => return true,
                 Ok(429) => std::thread::park_timeout(Duration::from_millis(200)),
@@ -226,7 +226,7 @@
 
     fn unload(&self, order: &UnloadOrder) -> u16 {
         let mut state = self.lock();
-        if !self.current(&mut state, order.fence) {
+        if !self.accept_fence(&mut state, order.fence) {
             return 409;
         }
         match state.models.get(&order.model) {
@@ -238,18 +238,18 @@
         }
     }
 
-    fn answer(&self, request: Request, content: &[u8]) {
-        let question: Value = serde_json::from_slice(content).unwrap_or_default();
-        let model = question["model"].as_str().unwrap_or_default().to_owned();
+    fn answer(&self, request: Request, body: &[u8]) {
+        let request_json: Value = serde_json::from_slice(body).unwrap_or_default();
+        let model = request_json["model"].as_str().unwrap_or_default().to_owned();
         if !self.lock().models.get(&model).is_some_and(|it| it.ready) {
-            let _ = respond(request, 404, &[], b"the engine does not hold the model");
+            let _ = respond(request, 404, &[], b"the model is not loaded");
             return;
         }
-        let number = self.answers.fetch_add(1, Ordering::AcqRel) + 1;
+        let id = self.answers.fetch_add(1, Ordering::AcqRel) + 1;
         let chat = request.url().starts_with("/v1/chat");
-        let words = words_of(&question);
-        if question["stream"].as_bool().unwrap_or(false) {
-            let _ = self.stream(request, &model, number, &words, chat);
+        let words = response_words(&request_json);
+        if request_json["stream"].as_bool().unwrap_or(false) {
+            let _ = self.stream(request, &model, id, &words, chat);
             return;
         }
         let pause = self.options.token_ms * words.len() as u64;
@@ -261,7 +261,7 @@
             json!({ "index": 0, "finish_reason": "stop", "text": words.concat() })
         };
         let document = json!({
-            "id": format!("answer-{number}"), "object": "chat.completion", "created": 0,
+            "id": format!("answer-{id}"), "object": "chat.completion", "created": 0,
             "model": model, "choices": [choice],
             "usage": { "prompt_tokens": words.len(), "completion_tokens": words.len(),
                 "total_tokens": 2 * words.len() },
@@ -274,7 +274,7 @@
         &self,
         request: Request,
         model: &str,
-        number: u64,
+        id: u64,
         words: &[String],
         chat: bool,
     ) -> std::io::Result<()> {
@@ -289,7 +289,7 @@
             } else {
                 json!({ "index": 0, "text": word, "finish_reason": finish })
             };
-            let event = json!({ "id": format!("answer-{number}"), "created": 0,
+            let event = json!({ "id": format!("answer-{id}"), "created": 0,
                 "object": "chat.completion.chunk", "model": model, "choices": [choice] });
             answer.part(format!("data: {event}\n\n").as_bytes())?;
         }
@@ -299,23 +299,23 @@
 }
 
 impl State {
-    fn keep_cached(&mut self, model: &str) {
+    fn add_to_caches(&mut self, model: &str) {
         if !self.disk.iter().any(|it| it == model) {
             self.disk.push(model.to_owned());
         }
         self.ram.retain(|it| it != model);
         self.ram.push(model.to_owned());
-        if self.ram.len() > RAM_CACHE {
+        if self.ram.len() > RAM_CACHE_MODELS {
             self.ram.remove(0);
         }
     }
 }
 
-/// The answer's words: the question again.
-fn words_of(question: &Value) -> Vec<String> {
-    let text = match question["messages"].as_array().and_then(|messages| messages.last()) {
+/// Returns the words of an answer, which repeats the prompt.
+fn response_words(request_json: &Value) -> Vec<String> {
+    let text = match request_json["messages"].as_array().and_then(|messages| messages.last()) {
         Some(message) => message["content"].as_str().unwrap_or_default(),
-        None => question["prompt"].as_str().unwrap_or_default(),
+        None => request_json["prompt"].as_str().unwrap_or_default(),
     };
     let words = text.split_inclusive(' ').map(str::to_owned);
     ["You ", "asked: "].into_iter().map(str::to_owned).chain(words).collect()
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,42 +1,44 @@
-//! Faults of the platform that can be switched on and off.
+//! Injectable faults of the platform.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// Faults in force.
+/// Active faults.
 #[derive(Debug, Default)]
 pub struct Faults {
-    away: AtomicBool,
-    lost: AtomicU64,
+    unavailable: AtomicBool,
+    confirmations_to_lose: AtomicU64,
     delay_ms: AtomicU64,
 }
 
 impl Faults {
-    /// Makes the table and the object store answer nothing but errors, or ends that.
-    pub fn set_away(&self, away: bool) {
-        self.away.store(away, Ordering::Release);
+    /// Sets whether the table and the object store answer every call with an error.
+    pub fn set_away(&self, unavailable: bool) {
+        self.unavailable.store(unavailable, Ordering::Release);
     }
 
-    /// Loses the confirmations of the next `count` transactions, which take effect.
+    /// Loses the confirmations of the next `count` transactions, which still take effect.
     pub fn lose_confirmations(&self, count: u64) {
-        self.lost.store(count, Ordering::Release);
+        self.confirmations_to_lose.store(count, Ordering::Release);
     }
 
-    /// Delays each answer of the table.
+    /// Sets the delay of each answer of the table, in milliseconds.
     pub fn set_delay(&self, millis: u64) {
         self.delay_ms.store(millis, Ordering::Release);
     }
 
-    pub(crate) fn away(&self) -> bool {
-        self.away.load(Ordering::Acquire)
+    pub(crate) fn unavailable(&self) -> bool {
+        self.unavailable.load(Ordering::Acquire)
     }
 
     pub(crate) fn delay(&self) -> u64 {
         self.delay_ms.load(Ordering::Acquire)
     }
 
-    /// Whether this confirmation is to be lost.
-    pub(crate) fn lose_one(&self) -> bool {
-        let lower = |left: u64| left.checked_sub(1);
-        self.lost.fetch_update(Ordering::AcqRel, Ordering::Acquire, lower).is_ok()
+    /// Returns whether to lose a confirmation, and counts it as lost.
+    pub(crate) fn take_lost_confirmation(&self) -> bool {
+        let decrement = |count: u64| count.checked_sub(1);
+        self.confirmations_to_lose
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, decrement)
+            .is_ok()
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for what citronrill meets: the platform, model engines and plain services.
+//! Stand-ins for the platform, model engines and plain services.
 //!
-//! They speak the same protocols as the clients in `citronrill-platform`, over loopback, so that
-//! `citronrill dev` and the tests run the whole path. Faults can be switched on while they run.
+//! They implement the server side of the protocols of `citronrill-platform` over loopback, so that
+//! `citronrill dev` and the tests cover the whole path. Faults can be injected while they run.
 
 mod engine;
 mod faults;
@@ -13,7 +13,7 @@
 pub use crate::{
     engine::{EngineOptions, EngineStandin},
     faults::Faults,
-    plain::{PlainStandin, Recorded},
+    plain::{PlainStandin, RecordedCall},
     platform::PlatformStandin,
     server::StandinError,
     weights::{WeightLimits, WeightStore},
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts its calls: a ledger for tests of what ran how often.
+//! A plain service that records its calls, so that tests can check how often each one ran.
 
 use std::{
     net::SocketAddr,
@@ -10,18 +10,18 @@
 use citronrill_http::{Header, respond};
 use tiny_http::Request;
 
-use crate::server::{StandinError, Threads, body};
+use crate::server::{HttpServer, StandinError, read_body};
 
 const THREADS: usize = 16;
 
-/// A call that the service has run.
+/// A call received by the service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Recorded {
+pub struct RecordedCall {
     /// The HTTP method.
     pub verb: String,
     /// The path.
     pub path: String,
-    /// Bytes of the body.
+    /// Size of the body, in bytes.
     pub size: usize,
     /// Hash of the body.
     pub hash: u64,
@@ -29,51 +29,51 @@
 
 /// A running plain service.
 pub struct PlainStandin {
-    ledger: Arc<Mutex<Vec<Recorded>>>,
-    threads: Threads,
+    ledger: Arc<Mutex<Vec<RecordedCall>>>,
+    server: HttpServer,
 }
 
 impl PlainStandin {
-    /// Starts a service on `address` that takes `delay_ms` for each call.
+    /// Starts a service on `address` that answers each call after `delay_ms`.
     ///
     /// # Errors
     /// The address cannot be listened on.
     pub fn start(address: SocketAddr, delay_ms: u64) -> Result<PlainStandin, StandinError> {
         let ledger = Arc::new(Mutex::new(Vec::new()));
         let shared = ledger.clone();
-        let threads = Threads::start("plain", address, THREADS, move |request| {
+        let server = HttpServer::start("plain", address, THREADS, move |request| {
             handle(request, &shared, delay_ms);
         })?;
-        Ok(PlainStandin { ledger, threads })
+        Ok(PlainStandin { ledger, server })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
-        self.threads.address
+        self.server.address
     }
 
-    /// The calls that it has run, in order.
-    pub fn ledger(&self) -> Vec<Recorded> {
+    /// Returns the recorded calls, in order.
+    pub fn ledger(&self) -> Vec<RecordedCall> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-fn handle(mut request: Request, ledger: &Mutex<Vec<Recorded>>, delay_ms: u64) {
-    let content = body(&mut request);
-    let entry = Recorded {
+fn handle(mut request: Request, ledger: &Mutex<Vec<RecordedCall>>, delay_ms: u64) {
+    let body = read_body(&mut request);
+    let call = RecordedCall {
         verb: request.method().to_string(),
         path: request.url().to_owned(),
-        size: content.len(),
-        hash: hash_bytes(&content),
+        size: body.len(),
+        hash: hash_bytes(&body),
     };
     let number = {
         let mut ledger = ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        ledger.push(entry);
+        ledger.push(call);
         ledger.len()
     };
     std::thread::park_timeout(Duration::from_millis(delay_ms));
     let headers = [Header::new("Content-Type", "text/plain"), Header::new("X-Entry", "yes")];
     let mut answer = format!("entry {number} {} ", request.url()).into_bytes();
-    answer.extend_from_slice(&content);
+    answer.extend_from_slice(&body);
     let _ = respond(request, 200, &headers, &answer);
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -18,14 +18,14 @@
 
 use crate::{
     faults::Faults,
-    server::{StandinError, Threads, body},
+    server::{HttpServer, StandinError, read_body},
     weights::{WeightLimits, WeightStore},
 };
 
-/// Threads of the server; each load of the weight store holds one.
+/// Threads of the server; each load of the weight store occupies one.
 const THREADS: usize = 24;
 
-/// The platform's state, shared with whoever started it.
+/// The platform's state, shared between [`PlatformStandin`] and the server threads.
 pub struct PlatformState {
     table: MemoryTable,
     objects: MemoryObjects,
@@ -37,7 +37,7 @@
 /// A running platform stand-in.
 pub struct PlatformStandin {
     state: Arc<PlatformState>,
-    threads: Threads,
+    server: HttpServer,
 }
 
 impl PlatformStandin {
@@ -54,41 +54,41 @@
             faults: Faults::default(),
         });
         let shared = state.clone();
-        let threads = Threads::start("platform", address, THREADS, move |it| shared.handle(it))?;
-        Ok(PlatformStandin { state, threads })
+        let server = HttpServer::start("platform", address, THREADS, move |it| shared.handle(it))?;
+        Ok(PlatformStandin { state, server })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
-        self.threads.address
+        self.server.address
     }
 
-    /// Its faults.
+    /// Returns the injectable faults.
     pub fn faults(&self) -> &Faults {
         &self.state.faults
     }
 
-    /// Its weight store.
+    /// Returns the weight store.
     pub fn weights(&self) -> &WeightStore {
         &self.state.weights
     }
 
-    /// Operations of the table so far.
+    /// Returns the number of table operations so far.
     pub fn table_counts(&self) -> TableCounts {
         self.state.table.counts()
     }
 
-    /// All rows of the table, for tests.
+    /// Returns all rows of the table, for tests.
     pub fn rows(&self) -> Vec<citronrill_base::Row> {
         self.state.table.rows()
     }
 
-    /// Puts an instance on the list, or changes it.
+    /// Adds an instance to the list, or updates it.
     pub fn list(&self, instance: Instance) {
         self.state.list(instance);
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list.
     pub fn unlist(&self, name: &str) {
         self.state.instances().remove(name);
     }
@@ -105,20 +105,20 @@
 
     fn handle(&self, mut request: Request) {
         let path = request.url().to_owned();
-        let content = body(&mut request);
-        let stored = path.starts_with("/table/") || path.starts_with("/objects/");
-        if stored && self.faults.away() {
+        let body = read_body(&mut request);
+        let is_storage = path.starts_with("/table/") || path.starts_with("/objects/");
+        if is_storage && self.faults.unavailable() {
             return answer(request, 503, Vec::new());
         }
         if path.starts_with("/table/") {
             std::thread::park_timeout(Duration::from_millis(self.faults.delay()));
         }
         let (status, bytes) = match (request.method(), path.as_str()) {
-            (_, "/table/read") => self.read(&content),
-            (_, "/table/changes") => self.changes(&content),
-            (_, "/table/commit") => self.commit(&content),
+            (_, "/table/read") => self.read(&body),
+            (_, "/table/changes") => self.changes(&body),
+            (_, "/table/commit") => self.commit(&body),
             (Method::Get, "/instances") => self.instance_list(),
-            (Method::Put, "/instances") => self.put_instance(&content),
+            (Method::Put, "/instances") => self.put_instance(&body),
             (Method::Get, path) if path.starts_with("/objects/") => {
                 match self.objects.get(&path["/objects/".len()..]) {
                     Ok(Some(bytes)) => (200, bytes),
@@ -126,7 +126,7 @@
                 }
             }
             (Method::Put, path) if path.starts_with("/objects/") => {
-                let _ = self.objects.put(&path["/objects/".len()..], &content);
+                let _ = self.objects.put(&path["/objects/".len()..], &body);
                 (200, Vec::new())
             }
             (Method::Get, path) if path.starts_with("/weights/") => self.weights(path),
@@ -135,28 +135,28 @@
         answer(request, status, bytes);
     }
 
-    fn read(&self, content: &[u8]) -> (u16, Vec<u8>) {
-        let Ok(read) = TableRead::decode(content) else { return (400, Vec::new()) };
+    fn read(&self, body: &[u8]) -> (u16, Vec<u8>) {
+        let Ok(read) = TableRead::decode(body) else { return (400, Vec::new()) };
         let rows = self.table.read(&read.keys).unwrap_or_default();
         let rows = rows.into_iter().map(TableRow::from).collect();
         (200, TableRows { rows, sequence: 0 }.encode_to_vec())
     }
 
-    fn changes(&self, content: &[u8]) -> (u16, Vec<u8>) {
-        let Ok(ask) = TableChanges::decode(content) else { return (400, Vec::new()) };
+    fn changes(&self, body: &[u8]) -> (u16, Vec<u8>) {
+        let Ok(ask) = TableChanges::decode(body) else { return (400, Vec::new()) };
         let changes = self.table.changes(&ask.prefix, ask.since, ask.limit as usize);
         let changes = changes.unwrap_or_default();
         let rows = changes.rows.into_iter().map(TableRow::from).collect();
         (200, TableRows { rows, sequence: changes.sequence }.encode_to_vec())
     }
 
-    fn commit(&self, content: &[u8]) -> (u16, Vec<u8>) {
-        let Ok(txn) = TableTxn::decode(content) else { return (400, Vec::new()) };
+    fn commit(&self, body: &[u8]) -> (u16, Vec<u8>) {
+        let Ok(txn) = TableTxn::decode(body) else { return (400, Vec::new()) };
         let sequence = match self.table.commit(&Txn::from(txn)) {
             Outcome::Committed(sequence) => sequence,
             Outcome::Conflict | Outcome::Unknown => 0,
         };
-        if sequence > 0 && self.faults.lose_one() {
+        if sequence > 0 && self.faults.take_lost_confirmation() {
             return (504, Vec::new());
         }
         (200, TableOutcome { sequence }.encode_to_vec())
@@ -167,13 +167,13 @@
         (200, serde_json::to_vec(&list).unwrap_or_default())
     }
 
-    fn put_instance(&self, content: &[u8]) -> (u16, Vec<u8>) {
-        let Ok(instance) = serde_json::from_slice(content) else { return (400, Vec::new()) };
+    fn put_instance(&self, body: &[u8]) -> (u16, Vec<u8>) {
+        let Ok(instance) = serde_json::from_slice(body) else { return (400, Vec::new()) };
         self.list(instance);
         (200, Vec::new())
     }
 
-    /// `/weights/MODEL?MILLIS`: answers when the weights have been read.
+    /// Handles `/weights/MODEL?MILLIS`: answers after the load, or with 429 if it is refused.
     fn weights(&self, path: &str) -> (u16, Vec<u8>) {
         let millis = path.split_once('?').and_then(|(_, millis)| millis.parse().ok());
         if self.weights.load(millis.unwrap_or(0)) { (200, Vec::new()) } else { (429, Vec::new()) }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server with a few threads.
+//! An HTTP server with a fixed number of threads.
 
 use std::{
     io,
@@ -10,18 +10,18 @@
 use thiserror::Error;
 use tiny_http::{Request, Server};
 
-/// Why a stand-in could not start.
+/// Error of the start of a stand-in.
 #[derive(Debug, Error)]
 pub enum StandinError {
-    /// Its address cannot be listened on.
+    /// The address cannot be listened on.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The HTTP library did not start.
+    /// The HTTP library could not start.
     #[error("cannot serve HTTP: {0}")]
     Http(String),
     /// A thread could not be started.
@@ -29,21 +29,21 @@
     Thread(#[from] io::Error),
 }
 
-/// A running server; dropping it ends its threads.
-pub(crate) struct Threads {
+/// A running server. Its threads end when it is dropped.
+pub(crate) struct HttpServer {
     pub(crate) address: SocketAddr,
     server: Arc<Server>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Threads {
+impl HttpServer {
     /// Serves on `address` with `count` threads.
     pub(crate) fn start(
         name: &str,
         address: SocketAddr,
         count: usize,
         handle: impl Fn(Request) + Send + Sync + 'static,
-    ) -> Result<Threads, StandinError> {
+    ) -> Result<HttpServer, StandinError> {
         let listener = citronrill_http::listen(address);
         let listener = listener.map_err(|source| StandinError::Listen { address, source })?;
         let address = listener.local_addr()?;
@@ -60,11 +60,11 @@
                 }
             })?);
         }
-        Ok(Threads { address, server, threads })
+        Ok(HttpServer { address, server, threads })
     }
 }
 
-impl Drop for Threads {
+impl Drop for HttpServer {
     fn drop(&mut self) {
         for _ in &self.threads {
             self.server.unblock();
@@ -73,7 +73,7 @@
 }
 
 /// Reads a request's body.
-pub(crate) fn body(request: &mut Request) -> Vec<u8> {
+pub(crate) fn read_body(request: &mut Request) -> Vec<u8> {
     let mut body = Vec::new();
     let _ = request.as_reader().read_to_end(&mut body);
     body
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,16 +1,16 @@
-//! A weight store that starts few loads a second and carries few at full speed.
+//! A weight store with limits on the rate of loads and on concurrent loads at full speed.
 
 use std::{
     sync::{Condvar, Mutex, PoisonError},
     time::{Duration, Instant},
 };
 
-/// The store's limits.
+/// Limits of the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WeightLimits {
-    /// Loads at once at full speed; beyond it all slow down alike.
+    /// Concurrent loads at full speed; with more, all slow down equally.
     pub once: u64,
-    /// Loads started a second; beyond it they are refused.
+    /// Loads started per second; more are refused.
     pub second: u64,
 }
 
@@ -18,9 +18,9 @@
 struct State {
     running: u64,
     started: Vec<Instant>,
-    most: u64,
+    max_running: u64,
     refused: u64,
-    slow: u64,
+    slowdown: u64,
 }
 
 /// The weight store.
@@ -28,22 +28,23 @@
 pub struct WeightStore {
     limits: WeightLimits,
     state: Mutex<State>,
-    moved: Condvar,
+    wakeup: Condvar,
 }
 
 impl WeightStore {
-    /// A store with `limits`.
+    /// Returns a weight store with `limits`.
     pub fn new(limits: WeightLimits) -> WeightStore {
-        let state = State { running: 0, started: Vec::new(), most: 0, refused: 0, slow: 1 };
-        WeightStore { limits, state: Mutex::new(state), moved: Condvar::new() }
+        let state =
+            State { running: 0, started: Vec::new(), max_running: 0, refused: 0, slowdown: 1 };
+        WeightStore { limits, state: Mutex::new(state), wakeup: Condvar::new() }
     }
 
     /// Slows every load down by a factor.
     pub fn slow_down(&self, factor: u64) {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner).slow = factor.max(1);
+        self.state.lock().unwrap_or_else(PoisonError::into_inner).slowdown = factor.max(1);
     }
 
-    /// Carries one load that takes `millis` at full speed; `false` if the rate is exceeded.
+    /// Executes a load that takes `millis` at full speed. Returns `false` if the rate limit is exceeded.
     pub(crate) fn load(&self, millis: u64) -> bool {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
@@ -54,24 +55,24 @@
         }
         state.started.push(now);
         state.running += 1;
-        state.most = state.most.max(state.running);
-        let mut left = millis as f64;
-        while left > 0.0 {
+        state.max_running = state.max_running.max(state.running);
+        let mut remaining = millis as f64;
+        while remaining > 0.0 {
             let share = self.limits.once as f64 / state.running.max(self.limits.once) as f64;
-            let speed = share / state.slow as f64;
-            let begun = Instant::now();
-            let wait = Duration::from_millis((left / speed).ceil().min(50.0) as u64 + 1);
-            let waited = self.moved.wait_timeout(state, wait);
+            let speed = share / state.slowdown as f64;
+            let started = Instant::now();
+            let wait = Duration::from_millis((remaining / speed).ceil().min(50.0) as u64 + 1);
+            let waited = self.wakeup.wait_timeout(state, wait);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
-            left -= begun.elapsed().as_secs_f64() * 1000.0 * speed;
+            remaining -= started.elapsed().as_secs_f64() * 1000.0 * speed;
         }
         state.running -= 1;
         true
     }
 
-    /// The most loads that ran at once, and how many were refused for the rate.
-    pub fn strain(&self) -> (u64, u64) {
+    /// Returns the maximum number of concurrent loads, and the number refused for the rate limit.
+    pub fn load_stats(&self) -> (u64, u64) {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        (state.most, state.refused)
+        (state.max_running, state.refused)
     }
 }
