--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -12,7 +12,7 @@
 pub use crate::{
     hash::{hash_bytes, rendezvous_order, rendezvous_score, zone_first},
     maps::{FixedState, Map, Set},
-    names::{Key, Names},
+    names::{Interner, Key},
     table::{Check, Outcome, Row, Txn, Write},
     time::Millis,
 };
--- a/crates/base/src/names.rs
+++ b/crates/base/src/names.rs
@@ -19,18 +19,18 @@
 /// Keys are never reused, so a key obtained before a configuration change still identifies the same
 /// entity after it.
 #[derive(Debug, Clone)]
-pub struct Names<K> {
+pub struct Interner<K> {
     set: IndexSet<String, FixedState>,
     kind: PhantomData<K>,
 }
 
-impl<K: Key> Default for Names<K> {
+impl<K: Key> Default for Interner<K> {
     fn default() -> Self {
-        Names { set: IndexSet::default(), kind: PhantomData }
+        Interner { set: IndexSet::default(), kind: PhantomData }
     }
 }
 
-impl<K: Key> Names<K> {
+impl<K: Key> Interner<K> {
     /// Returns the key of `name`, assigning one if the name is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(index) = self.set.get_index_of(name) {
--- a/crates/config/src/catalogue.rs
+++ b/crates/config/src/catalogue.rs
@@ -67,20 +67,20 @@
 
 /// Calls that must not be repeated, by method and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Method {
+pub struct CallPattern {
     /// The HTTP method, in upper case.
     pub verb: String,
     /// The prefix of the path, beginning with `/`.
-    pub path: String,
+    pub path_prefix: String,
 }
 
 /// Limits that all organisations share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pool {
     /// Loads that the weight store can start per second.
-    pub loads_second: u64,
+    pub loads_per_second: u64,
     /// Concurrent loads that the weight store can serve at full speed.
-    pub loads_once: u64,
+    pub concurrent_loads: u64,
 }
 
 /// An organisation.
@@ -120,7 +120,7 @@
     /// The plain endpoints.
     pub endpoints: Vec<EndpointKey>,
     /// Calls to plain endpoints that must not be repeated.
-    pub unrepeatable: Vec<Method>,
+    pub unrepeatable: Vec<CallPattern>,
 }
 
 /// A model or adapter.
@@ -179,7 +179,7 @@
     pub fn empty() -> Catalogue {
         Catalogue {
             version: 0,
-            pool: Pool { loads_second: 1, loads_once: 1 },
+            pool: Pool { loads_per_second: 1, concurrent_loads: 1 },
             organisations: Map::default(),
             services: Map::default(),
             models: Map::default(),
@@ -273,10 +273,10 @@
     fn pool(&mut self, section: &Section) {
         self.pool_seen = true;
         let mut fields = Fields::new(self.file, section, self.errors);
-        let loads_second = fields.required::<u64>("loads_second").unwrap_or(1).max(1);
-        let loads_once = fields.required::<u64>("loads_once").unwrap_or(1).max(1);
+        let loads_per_second = fields.required::<u64>("loads_second").unwrap_or(1).max(1);
+        let concurrent_loads = fields.required::<u64>("loads_once").unwrap_or(1).max(1);
         fields.finish();
-        self.catalogue.pool = Pool { loads_second, loads_once };
+        self.catalogue.pool = Pool { loads_per_second, concurrent_loads };
     }
 
     fn organisation(&mut self, section: &Section) {
@@ -330,7 +330,7 @@
         let unrepeatable = fields.list("unrepeatable");
         let mut methods = Vec::new();
         for text in unrepeatable {
-            match parse_method(&text) {
+            match parse_call_pattern(&text) {
                 Some(method) => methods.push(method),
                 None => fields.fail(
                     "unrepeatable",
@@ -461,10 +461,10 @@
     }
 }
 
-fn parse_method(text: &str) -> Option<Method> {
+fn parse_call_pattern(text: &str) -> Option<CallPattern> {
     let (verb, path) = text.split_once(' ')?;
     let path = path.trim();
     let verb_valid = !verb.is_empty() && verb.bytes().all(|byte| byte.is_ascii_uppercase());
     (verb_valid && path.starts_with('/'))
-        .then(|| Method { verb: verb.to_owned(), path: path.to_owned() })
+        .then(|| CallPattern { verb: verb.to_owned(), path_prefix: path.to_owned() })
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -15,7 +15,8 @@
 
 pub use crate::{
     catalogue::{
-        Catalogue, Class, EndpointSpec, Method, Model, Organisation, Pool, Service, ServiceKind,
+        CallPattern, Catalogue, Class, EndpointSpec, Model, Organisation, Pool, Service,
+        ServiceKind,
     },
     delta::{Delta, DeltaError, digest},
     error::{ConfigError, ConfigErrors, Problem},
--- a/crates/config/src/registry.rs
+++ b/crates/config/src/registry.rs
@@ -1,16 +1,16 @@
 //! Interned names of one process, shared by all catalogues that it compiles.
 
-use citronrill_base::{EndpointKey, ModelKey, Names, OrgKey, ServiceKey};
+use citronrill_base::{EndpointKey, Interner, ModelKey, OrgKey, ServiceKey};
 
 /// Interned names that stay valid across configuration versions.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
     /// Models and adapters.
-    pub models: Names<ModelKey>,
+    pub models: Interner<ModelKey>,
     /// Endpoints.
-    pub endpoints: Names<EndpointKey>,
+    pub endpoints: Interner<EndpointKey>,
     /// Organisations.
-    pub organisations: Names<OrgKey>,
+    pub organisations: Interner<OrgKey>,
     /// Services.
-    pub services: Names<ServiceKey>,
+    pub services: Interner<ServiceKey>,
 }
--- a/crates/decide/src/entry/requests.rs
+++ b/crates/decide/src/entry/requests.rs
@@ -129,7 +129,7 @@
                 let (key, spec) = found.ok_or(Refusal::not_run(RefusalKind::UnknownService))?;
                 let rules = spec.unrepeatable.iter();
                 let mut rules =
-                    rules.filter(|rule| rule.verb == *verb && path.starts_with(&rule.path));
+                    rules.filter(|rule| rule.verb == *verb && path.starts_with(&rule.path_prefix));
                 let repeatable = rules.next().is_none();
                 Ok(ResolvedTarget { target: Target::Plain(key), service: key, repeatable })
             }
@@ -212,8 +212,8 @@
         let tier = self.view.endpoints().map(|(key, _)| self.view.tier(key, &spec.name)).max();
         let tier = tier.unwrap_or(Tier::Remote);
         let queue = match (tier, &self.view.weights.row) {
-            (Tier::Remote, Some(row)) if row.permits.len() as u64 >= row.loads_once => {
-                (row.waiters.len() as u64 + 1) * spec.remote_ms / row.loads_once.max(1)
+            (Tier::Remote, Some(row)) if row.permits.len() as u64 >= row.concurrent_loads => {
+                (row.waiters.len() as u64 + 1) * spec.remote_ms / row.concurrent_loads.max(1)
             }
             _ => 0,
         };
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -350,8 +350,8 @@
     let mut ledger = row.clone();
     let mut weights = scene.view.weights.row.clone().unwrap_or_default();
     let weights_before = weights.clone();
-    weights.loads_once = scene.catalogue.pool.loads_once;
-    weights.loads_second = scene.catalogue.pool.loads_second;
+    weights.concurrent_loads = scene.catalogue.pool.concurrent_loads;
+    weights.loads_per_second = scene.catalogue.pool.loads_per_second;
     let endpoint = scene.view.endpoint_name(plan.endpoint).to_owned();
     let mut shares: Vec<(OrgKey, OrgShare, Vec<usize>)> = Vec::new();
     for (index, key) in plan.models.iter().enumerate() {
@@ -419,7 +419,8 @@
     let room = fits_now(ledger, replica);
     let base_loaded = base_ready(ledger, replica);
     let permit = !replica.remote
-        || (weights.waiters.is_empty() && (weights.permits.len() as u64) < weights.loads_once);
+        || (weights.waiters.is_empty()
+            && (weights.permits.len() as u64) < weights.concurrent_loads);
     room && base_loaded && permit
 }
 
--- a/crates/decide/src/rows.rs
+++ b/crates/decide/src/rows.rs
@@ -233,10 +233,10 @@
     pub waiters: Vec<Waiter>,
     /// Maximum number of concurrent permits.
     #[prost(uint64, tag = "3")]
-    pub loads_once: u64,
+    pub concurrent_loads: u64,
     /// Maximum number of load starts per second.
     #[prost(uint64, tag = "4")]
-    pub loads_second: u64,
+    pub loads_per_second: u64,
 }
 
 /// An entry process.
--- a/crates/decide/src/side/permits.rs
+++ b/crates/decide/src/side/permits.rs
@@ -1,8 +1,9 @@
 //! Permits to read from the weight store.
 //!
 //! The store sustains few concurrent loads at full speed and few load starts per second. One row
-//! enforces both limits: it has at most `loads_once` permits, and each is held for at least
-//! `loads_once / loads_second` seconds on its holder's clock, so that clocks need not agree.
+//! enforces both limits: it has at most `concurrent_loads` permits, and each is held for at least
+//! `concurrent_loads / loads_per_second` seconds on its holder's clock, so that clocks need not
+//! agree.
 
 use citronrill_base::{Millis, Txn};
 use prost::Message;
@@ -79,7 +80,7 @@
     /// [`FIRST_WAITER_TIMEOUT_MS`] goes to any load. Other changes of the row do not reset that
     /// time: otherwise a busy queue would wait forever behind a stalled first waiter.
     fn can_take_permit(&mut self, permits_row: &WeightsRow, order: u64) -> bool {
-        if permits_row.permits.len() as u64 >= permits_row.loads_once.max(1) {
+        if permits_row.permits.len() as u64 >= permits_row.concurrent_loads.max(1) {
             self.free_since = None;
             return false;
         }
@@ -100,7 +101,7 @@
     ) -> bool {
         if permits_row.waiters.iter().any(|waiter| waiter.order == replica.order) {
             let earlier = permits_row.waiters.iter().filter(|it| it.urgency < replica.urgency);
-            let turns = 1 + earlier.count() as u64 / permits_row.loads_once.max(1);
+            let turns = 1 + earlier.count() as u64 / permits_row.concurrent_loads.max(1);
             if self.now.since(self.last_read) >= (POLL_MS * turns).min(POLL_MAX_MS) {
                 self.read_requested = true;
             }
@@ -184,7 +185,7 @@
         let phase = |order: u64| {
             next.replicas.iter().find(|replica| replica.order == order).map(Replica::phase)
         };
-        let hold_ms = permits_row.loads_once * 1000 / permits_row.loads_second.max(1);
+        let hold_ms = permits_row.concurrent_loads * 1000 / permits_row.loads_per_second.max(1);
         permits_row.permits.retain(|it| {
             let loading = phase(it.order) == Some(Phase::Loading);
             it.endpoint != *own || loading || !self.held_for(it.order, hold_ms)
--- a/crates/gateway/src/board.rs
+++ b/crates/gateway/src/board.rs
@@ -9,7 +9,7 @@
 };
 
 use citronrill_pool::{CopyEvent, EntryEvent, Member, MemberChange};
-use citronrill_wire::{MemberRow, Snapshot, TextAsk, TextCopy, TextPart};
+use citronrill_wire::{ConfigChunk, ConfigChunkRequest, EncodedConfig, MemberRow, Snapshot};
 use tokio::sync::watch;
 
 use crate::{
@@ -78,7 +78,7 @@
                 return;
             }
         };
-        let encoded = TextCopy { version: config.version, bytes: bytes.to_vec() };
+        let encoded = EncodedConfig { version: config.version, bytes: bytes.to_vec() };
         let loaded = LoadedConfig { encoded, config: Arc::new(config) };
         let newer = self.config.send_if_modified(|current| {
             let newer = current
@@ -200,7 +200,11 @@
     }
 
     /// Answers a peer's request for a chunk of the configuration.
-    pub(crate) fn config_chunk(&self, peer: SocketAddr, request: &TextAsk) -> TextPart {
+    pub(crate) fn config_chunk(
+        &self,
+        peer: SocketAddr,
+        request: &ConfigChunkRequest,
+    ) -> ConfigChunk {
         let config = self.config.borrow();
         self.transfer.serve_chunk(peer, request, config.as_ref().map(|loaded| &loaded.encoded))
     }
@@ -217,12 +221,16 @@
         let known = config > 0 && members.version > 0;
         let rows = members.rows.iter();
         let rows = rows.map(|(name, bytes)| MemberRow { name: name.clone(), bytes: bytes.clone() });
-        known.then(|| Snapshot { text: config, list: members.version, members: rows.collect() })
+        known.then(|| Snapshot {
+            config_version: config,
+            list_version: members.version,
+            members: rows.collect(),
+        })
     }
 
     /// Applies a peer's member list if none has been read from the store yet.
     pub(crate) fn apply_snapshot(&self, snapshot: Snapshot, peer: SocketAddr) {
-        let (version, count) = (snapshot.list, snapshot.members.len());
+        let (version, count) = (snapshot.list_version, snapshot.members.len());
         if version == 0 {
             return;
         }
--- a/crates/gateway/src/copies.rs
+++ b/crates/gateway/src/copies.rs
@@ -8,7 +8,7 @@
 
 use citronrill_base::Millis;
 use citronrill_pool::{CopyEffect, CopyEvent, CopyFetch, CopyPatience, CopyServer, is_last};
-use citronrill_wire::{TextAsk, TextCopy, TextPart};
+use citronrill_wire::{ConfigChunk, ConfigChunkRequest, EncodedConfig};
 use tokio::{
     sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel},
     time::{Duration, sleep_until},
@@ -60,9 +60,9 @@
     pub(crate) fn serve_chunk(
         &self,
         peer: P,
-        request: &TextAsk,
-        config: Option<&TextCopy>,
-    ) -> TextPart {
+        request: &ConfigChunkRequest,
+        config: Option<&EncodedConfig>,
+    ) -> ConfigChunk {
         let chunk = self.with_server(|server, now| server.answer(now, peer, request, config));
         if !chunk.bytes.is_empty() && is_last(&chunk) {
             log::info!("event=text_sent to={peer} version={} bytes={}", chunk.version, chunk.total);
@@ -83,8 +83,8 @@
     sources: CopyPatience,
     seed: u64,
     mut inputs: UnboundedReceiver<CopyEvent<P>>,
-    request_chunk: impl Fn(P, TextAsk),
-    apply: impl Fn(TextCopy),
+    request_chunk: impl Fn(P, ConfigChunkRequest),
+    apply: impl Fn(EncodedConfig),
 ) {
     let mut fetch = CopyFetch::new(sources, seed);
     let start = tokio::time::Instant::now();
@@ -107,7 +107,7 @@
                     apply(config);
                 }
                 CopyEffect::Silent(peer, request) => {
-                    let TextAsk { version, offset } = request;
+                    let ConfigChunkRequest { version, offset } = request;
                     log::info!("event=copy_silent from={peer} version={version} offset={offset}");
                 }
             }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -17,7 +17,7 @@
     Arrival, CallerLimits, CopyEvent, CopyPatience, Due, EntryEffect, EntryEvent, EntryProfile,
     Pace, PoolEntry, Refusal, RequestId, Sending, ServingText,
 };
-use citronrill_wire::{PoolKind, Probe, TextCopy};
+use citronrill_wire::{EncodedConfig, PoolKind, Probe};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, unbounded};
 use tokio::sync::{mpsc, watch};
 
@@ -217,13 +217,13 @@
     view: PlatformView,
 ) -> impl Future<Output = ()> + use<> {
     let request_chunk = move |endpoint, request| {
-        let message = SideCommand::Send(endpoint, Box::new(PoolKind::TextAsk(request)));
+        let message = SideCommand::Send(endpoint, Box::new(PoolKind::ConfigChunkRequest(request)));
         let sent = sides.upgrade().is_some_and(|sides| sides.send(message).is_ok());
         if !sent {
             log::debug!("event=sides_gone");
         }
     };
-    let apply = move |encoded: TextCopy| view.offer_config(&encoded.bytes, "side");
+    let apply = move |encoded: EncodedConfig| view.offer_config(&encoded.bytes, "side");
     run_config_fetch(
         CopyPatience::OwnRead,
         hash_bytes(name.as_bytes()),
@@ -358,11 +358,11 @@
                 self.metrics.load_requests.increment();
                 self.send_to_sides(SideCommand::Send(
                     address,
-                    Box::new(PoolKind::Want(load_request)),
+                    Box::new(PoolKind::LoadRequest(load_request)),
                 ));
             }
             EntryEffect::Used(address, usage) => {
-                self.send_to_sides(SideCommand::Send(address, Box::new(PoolKind::Used(usage))));
+                self.send_to_sides(SideCommand::Send(address, Box::new(PoolKind::Usage(usage))));
             }
             EntryEffect::Sides(addresses) => {
                 self.send_to_sides(SideCommand::ConnectOnly(addresses))
@@ -397,7 +397,7 @@
 /// A decoded configuration, with the bytes that it was decoded from.
 #[derive(Clone)]
 pub(crate) struct LoadedConfig {
-    pub(crate) encoded: TextCopy,
+    pub(crate) encoded: EncodedConfig,
     pub(crate) config: Arc<ServingText>,
 }
 
--- a/crates/gateway/src/seeds.rs
+++ b/crates/gateway/src/seeds.rs
@@ -10,7 +10,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use citronrill_pool::is_last;
-use citronrill_wire::{PoolKind, TextAsk, WireError};
+use citronrill_wire::{ConfigChunkRequest, PoolKind, WireError};
 use tokio::{
     net::{TcpListener, TcpStream},
     time::{sleep, timeout},
@@ -62,10 +62,10 @@
         match timeout(Duration::from_millis(MESSAGE_TIMEOUT_MS), receiver.next()).await {
             Ok(Err(WireError::Closed)) | Err(_) => return Ok(()),
             Ok(Err(error)) => return Err(error),
-            Ok(Ok(PoolKind::TextAsk(request))) => {
-                sender.send(PoolKind::TextPart(view.config_chunk(peer, &request))).await?;
+            Ok(Ok(PoolKind::ConfigChunkRequest(request))) => {
+                sender.send(PoolKind::ConfigChunk(view.config_chunk(peer, &request))).await?;
             }
-            Ok(Ok(_)) => return Err(WireError::OutOfTurn),
+            Ok(Ok(_)) => return Err(WireError::UnexpectedFrame),
         }
     }
 }
@@ -97,9 +97,9 @@
     let stream = stream.map_err(|error| WireError::Io(std::io::Error::other(error.to_string())))?;
     let (mut receiver, mut sender) = split(stream);
     let PoolKind::Snapshot(snapshot) = receive(&mut receiver).await? else {
-        return Err(WireError::OutOfTurn);
+        return Err(WireError::UnexpectedFrame);
     };
-    let version = snapshot.text;
+    let version = snapshot.config_version;
     view.apply_snapshot(snapshot, seed);
     if version > view.config_version() {
         let config = fetch_config(version, &mut receiver, &mut sender).await?;
@@ -117,13 +117,13 @@
     let mut bytes = Vec::new();
     loop {
         let offset = bytes.len() as u64;
-        sender.send(PoolKind::TextAsk(TextAsk { version, offset })).await?;
-        let PoolKind::TextPart(chunk) = receive(receiver).await? else {
-            return Err(WireError::OutOfTurn);
+        sender.send(PoolKind::ConfigChunkRequest(ConfigChunkRequest { version, offset })).await?;
+        let PoolKind::ConfigChunk(chunk) = receive(receiver).await? else {
+            return Err(WireError::UnexpectedFrame);
         };
         // The peer has a newer version by now, or is busy with others; the next attempt starts over.
         if chunk.version != version || chunk.offset != offset || chunk.bytes.is_empty() {
-            return Err(WireError::OutOfTurn);
+            return Err(WireError::UnexpectedFrame);
         }
         bytes.extend_from_slice(&chunk.bytes);
         if is_last(&chunk) {
--- a/crates/gateway/src/side/entries.rs
+++ b/crates/gateway/src/side/entries.rs
@@ -10,7 +10,7 @@
 };
 
 use citronrill_pool::{CopyEvent, CopyPatience, EntryLink, SideEvent};
-use citronrill_wire::{Alive, PoolKind, SideState, TextCopy, WireError};
+use citronrill_wire::{EncodedConfig, PoolKind, ProbeReply, SideState, WireError};
 use crossbeam::channel::Sender;
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -29,7 +29,7 @@
 pub(super) struct ConnectionContext {
     pub(super) dialect: Arc<dyn Dialect>,
     pub(super) events: Sender<SideEvent>,
-    pub(super) config: watch::Sender<Option<TextCopy>>,
+    pub(super) config: watch::Sender<Option<EncodedConfig>>,
     pub(super) states: watch::Receiver<Option<SideState>>,
     pub(super) connections: Arc<EntryConnections>,
     pub(super) transfer: ConfigTransfer<EntryLink>,
@@ -132,28 +132,31 @@
     context: &ConnectionContext,
 ) -> Result<(), WireError> {
     let event = match message {
-        PoolKind::Want(load_request) => SideEvent::Want(link, load_request),
-        PoolKind::Used(usage) => SideEvent::Used(usage),
-        PoolKind::Version(config) => {
+        PoolKind::LoadRequest(load_request) => SideEvent::Want(link, load_request),
+        PoolKind::Usage(usage) => SideEvent::Used(usage),
+        PoolKind::ConfigVersion(config) => {
             context.transfer.send_event(CopyEvent::Offered(link, config.version));
             return Ok(());
         }
-        PoolKind::TextPart(chunk) => {
+        PoolKind::ConfigChunk(chunk) => {
             context.transfer.send_event(CopyEvent::Part(link, chunk));
             return Ok(());
         }
         PoolKind::Probe(_) => {
-            context.connections.send(link, PoolKind::Alive(Alive {}));
+            context.connections.send(link, PoolKind::ProbeReply(ProbeReply {}));
             return Ok(());
         }
-        PoolKind::TextAsk(request) => {
+        PoolKind::ConfigChunkRequest(request) => {
             let chunk =
                 context.transfer.serve_chunk(link, &request, context.config.borrow().as_ref());
-            context.connections.send(link, PoolKind::TextPart(chunk));
+            context.connections.send(link, PoolKind::ConfigChunk(chunk));
             return Ok(());
         }
-        PoolKind::State(_) | PoolKind::Declined(_) | PoolKind::Alive(_) | PoolKind::Snapshot(_) => {
-            return Err(WireError::OutOfTurn);
+        PoolKind::State(_)
+        | PoolKind::LoadDeclined(_)
+        | PoolKind::ProbeReply(_)
+        | PoolKind::Snapshot(_) => {
+            return Err(WireError::UnexpectedFrame);
         }
     };
     context.events.send(event).map_err(|_| WireError::Closed)
@@ -165,7 +168,8 @@
     events: mpsc::UnboundedReceiver<CopyEvent<EntryLink>>,
     context: Arc<ConnectionContext>,
 ) {
-    let request_chunk = |link, request| context.connections.send(link, PoolKind::TextAsk(request));
+    let request_chunk =
+        |link, request| context.connections.send(link, PoolKind::ConfigChunkRequest(request));
     let apply = |encoded| {
         context.metrics.configs.increment();
         apply_config(encoded, &context);
@@ -174,8 +178,8 @@
 }
 
 /// Decodes a configuration and keeps it if it is newer than the current one.
-fn apply_config(encoded: TextCopy, context: &ConnectionContext) {
-    let newer = |current: &Option<TextCopy>| {
+fn apply_config(encoded: EncodedConfig, context: &ConnectionContext) {
+    let newer = |current: &Option<EncodedConfig>| {
         current.as_ref().is_none_or(|current| current.version < encoded.version)
     };
     if !newer(&context.config.borrow()) {
--- a/crates/gateway/src/side/mod.rs
+++ b/crates/gateway/src/side/mod.rs
@@ -167,7 +167,7 @@
                 return;
             }
             SideEffect::Decline(link, name) => {
-                self.connections.send(link, PoolKind::Declined(name));
+                self.connections.send(link, PoolKind::LoadDeclined(name));
                 return;
             }
             SideEffect::Log(event) => {
--- a/crates/gateway/src/sides.rs
+++ b/crates/gateway/src/sides.rs
@@ -9,7 +9,7 @@
 };
 
 use citronrill_pool::{CopyEvent, EntryEvent, SideLoss};
-use citronrill_wire::{PoolKind, TextVersion, WireError};
+use citronrill_wire::{ConfigVersion, PoolKind, WireError};
 use thiserror::Error;
 use tokio::{
     sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel},
@@ -213,7 +213,7 @@
                 changed = config.changed() => {
                     changed.map_err(|_| WireError::Closed)?;
                     let version = config_version(&config.borrow_and_update());
-                    sender.send(PoolKind::Version(TextVersion { version })).await?;
+                    sender.send(PoolKind::ConfigVersion(ConfigVersion { version })).await?;
                 }
                 () = sleep_until(deadline) => return Err(ConnectionError::Silent),
             }
@@ -225,20 +225,22 @@
         let endpoint = self.endpoint;
         match kind {
             PoolKind::State(state) => {
-                self.transfer.send_event(CopyEvent::Offered(endpoint, state.text));
+                self.transfer.send_event(CopyEvent::Offered(endpoint, state.config_version));
                 self.events.send(EntryEvent::Side(endpoint, state));
             }
-            PoolKind::TextPart(chunk) => self.transfer.send_event(CopyEvent::Part(endpoint, chunk)),
-            PoolKind::TextAsk(request) => {
-                return Ok(Some(PoolKind::TextPart(self.view.config_chunk(endpoint, &request))));
+            PoolKind::ConfigChunk(chunk) => {
+                self.transfer.send_event(CopyEvent::Part(endpoint, chunk))
             }
-            PoolKind::Declined(name) => self.events.send(EntryEvent::Declined(endpoint, name)),
-            PoolKind::Alive(_) => self.events.send(EntryEvent::Alive(endpoint)),
-            PoolKind::Want(_)
+            PoolKind::ConfigChunkRequest(request) => {
+                return Ok(Some(PoolKind::ConfigChunk(self.view.config_chunk(endpoint, &request))));
+            }
+            PoolKind::LoadDeclined(name) => self.events.send(EntryEvent::Declined(endpoint, name)),
+            PoolKind::ProbeReply(_) => self.events.send(EntryEvent::Alive(endpoint)),
+            PoolKind::LoadRequest(_)
             | PoolKind::Probe(_)
-            | PoolKind::Used(_)
-            | PoolKind::Version(_)
-            | PoolKind::Snapshot(_) => return Err(WireError::OutOfTurn),
+            | PoolKind::Usage(_)
+            | PoolKind::ConfigVersion(_)
+            | PoolKind::Snapshot(_) => return Err(WireError::UnexpectedFrame),
         }
         Ok(None)
     }
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -163,7 +163,7 @@
 }
 
 fn check_permits(sim: &Simulation, state: &TableState, violations: &mut Vec<String>) {
-    let limit = sim.catalogue.pool.loads_once;
+    let limit = sim.catalogue.pool.concurrent_loads;
     let permits = &state.weights.permits;
     if permits.len() as u64 > limit {
         violations.push(format!("{} permits are taken, the limit is {limit}", permits.len()));
--- a/crates/lab/src/world/effects.rs
+++ b/crates/lab/src/world/effects.rs
@@ -75,12 +75,12 @@
                 self.send_message(to, Event::Demand(demand));
             }
             Effect::Heard { to, model } => {
-                let frame = wire::Verdict { model: model.clone(), kind: 3 };
+                let frame = wire::DemandReply { model: model.clone(), kind: 3 };
                 self.count_frame(index, &to, &frame.into());
                 self.send_message(to, Event::Heard(model));
             }
             Effect::Verdict { to, model, kind } => {
-                let frame = wire::Verdict { model: model.clone(), kind: 0 };
+                let frame = wire::DemandReply { model: model.clone(), kind: 0 };
                 self.count_frame(index, &to, &frame.into());
                 self.send_message(to, Event::Verdict { model, kind });
             }
@@ -236,7 +236,7 @@
         let slowdown = self.faults.store_slowdown.max(1);
         let time = match tier {
             Tier::Remote => {
-                let limit = self.catalogue.pool.loads_once.max(1);
+                let limit = self.catalogue.pool.concurrent_loads.max(1);
                 time * slowdown * (running + 1).max(limit) / limit
             }
             Tier::Disk | Tier::Ram => time,
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -7,7 +7,7 @@
 use prost::Message;
 
 use crate::{
-    Changes, Instance, Instances, Objects, PlatformError, Table,
+    Changes, Instance, InstanceList, ObjectStore, PlatformError, Table,
     messages::{TableChanges, TableOutcome, TableRead, TableRows, TableTxn},
 };
 
@@ -75,14 +75,14 @@
 
 /// A client of the object store.
 #[derive(Debug, Clone)]
-pub struct HttpObjects {
+pub struct HttpObjectStore {
     address: SocketAddr,
 }
 
-impl HttpObjects {
+impl HttpObjectStore {
     /// Creates a client of the store at `address`.
-    pub fn new(address: SocketAddr) -> HttpObjects {
-        HttpObjects { address }
+    pub fn new(address: SocketAddr) -> HttpObjectStore {
+        HttpObjectStore { address }
     }
 
     fn url(&self, name: &str) -> String {
@@ -90,7 +90,7 @@
     }
 }
 
-impl Objects for HttpObjects {
+impl ObjectStore for HttpObjectStore {
     fn put(&self, name: &str, body: &[u8]) -> Result<(), PlatformError> {
         let builder = attohttpc::put(self.url(name)).bytes(body);
         let builder = builder.connect_timeout(CONNECT_TIMEOUT).read_timeout(READ_TIMEOUT);
@@ -108,18 +108,18 @@
 
 /// A client of the platform's instance list.
 #[derive(Debug, Clone)]
-pub struct HttpInstances {
+pub struct HttpInstanceList {
     address: SocketAddr,
 }
 
-impl HttpInstances {
+impl HttpInstanceList {
     /// Creates a client of the list at `address`.
-    pub fn new(address: SocketAddr) -> HttpInstances {
-        HttpInstances { address }
+    pub fn new(address: SocketAddr) -> HttpInstanceList {
+        HttpInstanceList { address }
     }
 }
 
-impl Instances for HttpInstances {
+impl InstanceList for HttpInstanceList {
     fn list(&self) -> Result<Vec<Instance>, PlatformError> {
         let url = format!("http://{}/instances", self.address);
         let response = checked(with_timeouts(attohttpc::get(url)).send()?)?;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -12,10 +12,10 @@
 mod messages;
 
 pub use crate::{
-    client::{HttpInstances, HttpObjects, HttpTable},
+    client::{HttpInstanceList, HttpObjectStore, HttpTable},
     engine::{EngineState, HttpEngine, LoadOrder, UnloadOrder},
     error::PlatformError,
-    memory::{MemoryObjects, MemoryTable, TableCounts},
+    memory::{MemoryObjectStore, MemoryTable, TableCounts},
     messages::{TableChanges, TableOutcome, TableRead, TableRow, TableRows, TableTxn},
 };
 use citronrill_base::{Outcome, Row, Txn};
@@ -49,7 +49,7 @@
 }
 
 /// The object store.
-pub trait Objects: Send + Sync {
+pub trait ObjectStore: Send + Sync {
     /// Stores an object.
     ///
     /// # Errors
@@ -89,7 +89,7 @@
 }
 
 /// The platform's list of instances, which may be out of date.
-pub trait Instances: Send + Sync {
+pub trait InstanceList: Send + Sync {
     /// Returns all live and leaving instances.
     ///
     /// # Errors
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -7,7 +7,7 @@
 
 use citronrill_base::{Outcome, Row, Txn};
 
-use crate::{Changes, Objects, PlatformError, Table};
+use crate::{Changes, ObjectStore, PlatformError, Table};
 
 /// Counters of a table's operations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -124,11 +124,11 @@
 
 /// An in-memory object store.
 #[derive(Debug, Default)]
-pub struct MemoryObjects {
+pub struct MemoryObjectStore {
     objects: Mutex<HashMap<String, Vec<u8>>>,
 }
 
-impl Objects for MemoryObjects {
+impl ObjectStore for MemoryObjectStore {
     fn put(&self, name: &str, body: &[u8]) -> Result<(), PlatformError> {
         let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
         objects.insert(name.to_owned(), body.to_vec());
--- a/crates/pool/src/copies.rs
+++ b/crates/pool/src/copies.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use citronrill_base::{Millis, hash_bytes};
-use citronrill_wire::{TextAsk, TextCopy, TextPart};
+use citronrill_wire::{ConfigChunk, ConfigChunkRequest, EncodedConfig};
 
 /// Bytes of one chunk: 13 ms on a link of 10 Mbit/s, so that traffic of callers can pass between
 /// two chunks.
@@ -58,7 +58,7 @@
     /// The connection to a peer has ended.
     Gone(P),
     /// A peer's answer to a chunk request.
-    Part(P, TextPart),
+    Part(P, ConfigChunk),
     /// Time has passed.
     Tick,
 }
@@ -67,11 +67,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CopyEffect<P> {
     /// Request a chunk from a peer.
-    Ask(P, TextAsk),
+    Ask(P, ConfigChunkRequest),
     /// A configuration is complete; with the peer that sent its last chunk.
-    Whole(P, TextCopy),
+    Whole(P, EncodedConfig),
     /// A peer sent no chunk in time; another one is asked.
-    Silent(P, TextAsk),
+    Silent(P, ConfigChunkRequest),
 }
 
 /// A partially received configuration.
@@ -185,7 +185,7 @@
         &mut self,
         now: Millis,
         peer: P,
-        chunk: TextPart,
+        chunk: ConfigChunk,
         effects: &mut Vec<CopyEffect<P>>,
     ) {
         // A late answer: another peer has been asked in the meantime.
@@ -216,7 +216,7 @@
         // have it intact.
         self.avoided.insert(peer, now + FAULTY_PEER_MS);
         self.paused_until = now + DECODE_MS;
-        let config = TextCopy { version: partial.version, bytes: partial.bytes };
+        let config = EncodedConfig { version: partial.version, bytes: partial.bytes };
         effects.push(CopyEffect::Whole(peer, config));
     }
 
@@ -234,7 +234,7 @@
         let offset = self.offset_of(outstanding.version);
         effects.push(CopyEffect::Silent(
             outstanding.peer,
-            TextAsk { version: outstanding.version, offset },
+            ConfigChunkRequest { version: outstanding.version, offset },
         ));
     }
 
@@ -280,7 +280,7 @@
     ) {
         let offset = self.offset_of(version);
         self.outstanding = Some(ChunkRequest { peer, version, at: now });
-        effects.push(CopyEffect::Ask(peer, TextAsk { version, offset }));
+        effects.push(CopyEffect::Ask(peer, ConfigChunkRequest { version, offset }));
     }
 }
 
@@ -310,12 +310,12 @@
         &mut self,
         now: Millis,
         peer: P,
-        request: &TextAsk,
-        config: Option<&TextCopy>,
-    ) -> TextPart {
+        request: &ConfigChunkRequest,
+        config: Option<&EncodedConfig>,
+    ) -> ConfigChunk {
         self.served.retain(|_, asked| now.since(*asked) < SERVED_MS);
         let free = self.served.contains_key(&peer) || self.served.len() < MAX_SERVED;
-        let Some(config) = config.filter(|_| free) else { return TextPart::default() };
+        let Some(config) = config.filter(|_| free) else { return ConfigChunk::default() };
         let chunk = chunk_at(config, request);
         if is_last(&chunk) {
             self.served.remove(&peer);
@@ -332,11 +332,11 @@
 }
 
 /// Returns the chunk of `config` that `request` requests.
-fn chunk_at(config: &TextCopy, request: &TextAsk) -> TextPart {
+fn chunk_at(config: &EncodedConfig, request: &ConfigChunkRequest) -> ConfigChunk {
     let begin = if request.version == config.version { request.offset } else { 0 };
     let begin = (begin as usize).min(config.bytes.len());
     let end = (begin + CHUNK_BYTES).min(config.bytes.len());
-    TextPart {
+    ConfigChunk {
         version: config.version,
         offset: begin as u64,
         total: config.bytes.len() as u64,
@@ -345,6 +345,6 @@
 }
 
 /// Returns whether `chunk` is the last chunk.
-pub fn is_last(chunk: &TextPart) -> bool {
+pub fn is_last(chunk: &ConfigChunk) -> bool {
     chunk.offset + chunk.bytes.len() as u64 >= chunk.total
 }
--- a/crates/pool/src/endpoint.rs
+++ b/crates/pool/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! An entry's view of one endpoint.
 
-use citronrill_base::{Millis, ModelKey, Names};
+use citronrill_base::{Interner, Millis, ModelKey};
 use citronrill_wire::SideState;
 
 use crate::{
@@ -50,7 +50,7 @@
 
 impl ModelInventory {
     /// Returns the models held according to the member list.
-    pub(crate) fn from_member(member: &Member, names: &mut Names<ModelKey>) -> ModelInventory {
+    pub(crate) fn from_member(member: &Member, names: &mut Interner<ModelKey>) -> ModelInventory {
         let mut inventory = ModelInventory::default();
         for model in &member.models {
             inventory.add(&model.name, &model.adapters, names);
@@ -61,10 +61,10 @@
     }
 
     /// Returns the models held according to a side's report, without those being evicted.
-    pub(crate) fn from_state(state: &SideState, names: &mut Names<ModelKey>) -> ModelInventory {
+    pub(crate) fn from_state(state: &SideState, names: &mut Interner<ModelKey>) -> ModelInventory {
         let mut inventory =
             ModelInventory { sequence: state.sequence, ..ModelInventory::default() };
-        for model in state.models.iter().filter(|model| !state.leaving.contains(&model.name)) {
+        for model in state.models.iter().filter(|model| !state.evicting.contains(&model.name)) {
             inventory.add(&model.name, &model.adapters, names);
         }
         inventory.in_memory = state.in_memory.iter().map(|name| names.intern(name)).collect();
@@ -72,7 +72,7 @@
         inventory
     }
 
-    fn add(&mut self, model: &str, adapters: &[String], names: &mut Names<ModelKey>) {
+    fn add(&mut self, model: &str, adapters: &[String], names: &mut Interner<ModelKey>) {
         let key = names.intern(model);
         self.models.push(key);
         self.keys.push(key);
@@ -91,14 +91,14 @@
 pub(crate) struct SideView {
     pub(crate) at: Millis,
     pub(crate) loading: Vec<ModelKey>,
-    pub(crate) leaving: Vec<ModelKey>,
+    pub(crate) evicting: Vec<ModelKey>,
     pub(crate) entries: u32,
-    pub(crate) sound: bool,
-    pub(crate) busy_ms: u64,
+    pub(crate) healthy: bool,
+    pub(crate) load_eta_ms: u64,
     /// Milliseconds from the report until the current order is complete.
-    pub(crate) order_ms: u64,
+    pub(crate) order_eta_ms: u64,
     pub(crate) store_loads: u32,
-    pub(crate) store_slow: u32,
+    pub(crate) store_slowdown: u32,
     /// The duration so far of the current load from the weight store, in the same unit; 0 while it
     /// is not late.
     pub(crate) store_overdue: u32,
@@ -108,7 +108,7 @@
     /// Requests a second that find no replica with room, for the models that this side counts.
     pub(crate) missed: Vec<(ModelKey, f64)>,
     /// Models that must not be evicted now.
-    pub(crate) fixed: Vec<ModelKey>,
+    pub(crate) pinned: Vec<ModelKey>,
     /// Requests a second by model.
     pub(crate) rates: Vec<(ModelKey, f64)>,
 }
@@ -116,7 +116,7 @@
 impl SideView {
     /// Returns the milliseconds until all planned loads are complete.
     pub(crate) fn left_ms(&self, now: Millis) -> u64 {
-        self.busy_ms.saturating_sub(now.since(self.at))
+        self.load_eta_ms.saturating_sub(now.since(self.at))
     }
 }
 
@@ -222,7 +222,7 @@
     /// Returns whether its side has not reported for more than two periods, or cannot reach the
     /// endpoint: the instance may be frozen or gone.
     pub(crate) fn dark(&self, now: Millis) -> bool {
-        self.side.as_ref().is_none_or(|side| !side.sound || now.since(side.at) > DARK_MS)
+        self.side.as_ref().is_none_or(|side| !side.healthy || now.since(side.at) > DARK_MS)
     }
 
     /// Returns whether its side reports and its instance responds.
--- a/crates/pool/src/entry/demand.rs
+++ b/crates/pool/src/entry/demand.rs
@@ -1,7 +1,7 @@
 //! Request and miss rates of models.
 
 use citronrill_base::{Map, ModelKey, Set, rendezvous_score};
-use citronrill_wire::Usage;
+use citronrill_wire::UsageReport;
 
 use super::{EntryEffect, PoolEntry, RequestId, placement::HORIZON_S, wants::DELAY_PER_WAITER_MS};
 use crate::{endpoint::Endpoint, rate::Rate};
@@ -54,12 +54,12 @@
         let model = self.names.name(base).to_owned();
         let fresh = self.pool.endpoints.values().filter(|endpoint| {
             endpoint.member.service == service
-                && endpoint.fresh_side(self.now).is_some_and(|side| side.sound)
+                && endpoint.fresh_side(self.now).is_some_and(|side| side.healthy)
         });
         let counter =
             fresh.max_by_key(|endpoint| rendezvous_score(&model, &endpoint.member.instance));
         let Some(address) = counter.map(|endpoint| endpoint.member.address) else { return };
-        let missed = Usage { model, adapter: String::new(), missed: true };
+        let missed = UsageReport { model, adapter: String::new(), missed: true };
         self.effects.push(EntryEffect::Used(address, missed));
     }
 
@@ -107,7 +107,7 @@
         self.pool.endpoints.values().filter(move |endpoint| {
             endpoint.open()
                 && endpoint.holding.models.contains(&key)
-                && endpoint.fresh_side(self.now).is_some_and(|side| side.sound)
+                && endpoint.fresh_side(self.now).is_some_and(|side| side.healthy)
                 && !endpoint.life.silent(self.now)
         })
     }
@@ -142,7 +142,7 @@
             .values()
             .filter(|endpoint| endpoint.open() && !endpoint.holding.models.contains(&key));
         let sides = sides.filter_map(|endpoint| endpoint.fresh_side(self.now));
-        let loading = sides.filter(|side| side.sound && side.loading.contains(&key));
+        let loading = sides.filter(|side| side.healthy && side.loading.contains(&key));
         let left = loading.map(|side| side.left_ms(self.now));
         left.min().map(|ms| ms as f64)
     }
--- a/crates/pool/src/entry/exchange.rs
+++ b/crates/pool/src/entry/exchange.rs
@@ -2,7 +2,7 @@
 
 use citronrill_base::hash_bytes;
 use citronrill_decide::LogEvent;
-use citronrill_wire::Usage;
+use citronrill_wire::UsageReport;
 
 use super::{
     AnswerHead, EntryEffect, FailureKind, PoolEntry, Reason, Refusal, Request, RequestId, Resume,
@@ -73,8 +73,8 @@
             .with("sequence", endpoint.holding.sequence);
         if request.required.is_some() {
             let (model, adapter) = (request.model.clone(), request.adapter.clone());
-            let used = Usage { model, adapter, missed: false };
-            self.effects.push(EntryEffect::Used(dispatch.address, used));
+            let usage = UsageReport { model, adapter, missed: false };
+            self.effects.push(EntryEffect::Used(dispatch.address, usage));
         }
         self.effects.push(EntryEffect::Send(id, dispatch));
         self.log(event);
--- a/crates/pool/src/entry/mod.rs
+++ b/crates/pool/src/entry/mod.rs
@@ -18,7 +18,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
-use citronrill_base::{Map, Millis, ModelKey, Names};
+use citronrill_base::{Interner, Map, Millis, ModelKey};
 use citronrill_decide::LogEvent;
 use citronrill_wire::{ModelName, SideState};
 
@@ -29,7 +29,7 @@
 };
 use self::{
     choose::Choice, demand::Demand, exchange::MAX_DISPATCHES, resume::Losses, stock::PreloadState,
-    store_limit::StoreLimit, wants::LoadRequest,
+    store_limit::StoreLimit, wants::SentLoadRequest,
 };
 use crate::{
     budget::RetryBudget,
@@ -182,10 +182,10 @@
     /// Whether the platform store has confirmed that this configuration is current.
     config_current: bool,
     pool: Pool,
-    names: Names<ModelKey>,
+    names: Interner<ModelKey>,
     requests: BTreeMap<RequestId, Request>,
     budgets: Map<String, RetryBudget>,
-    load_requests: Map<ModelKey, LoadRequest>,
+    load_requests: Map<ModelKey, SentLoadRequest>,
     demand: Demand,
     preload: PreloadState,
     losses: Losses,
@@ -204,7 +204,7 @@
             config: None,
             config_current: false,
             pool: Pool::default(),
-            names: Names::default(),
+            names: Interner::default(),
             requests: BTreeMap::new(),
             budgets: Map::default(),
             load_requests: Map::default(),
--- a/crates/pool/src/entry/placement.rs
+++ b/crates/pool/src/entry/placement.rs
@@ -98,7 +98,7 @@
         model: ModelKey,
         store_open: bool,
     ) -> Option<Place> {
-        let side = endpoint.fresh_side(self.now).filter(|side| side.sound)?;
+        let side = endpoint.fresh_side(self.now).filter(|side| side.healthy)?;
         let unavailable = endpoint.avoided(self.now)
             || endpoint.life.silent(self.now)
             || self.now < endpoint.declined_until;
@@ -117,7 +117,7 @@
         } else {
             spec.disk_ms
         };
-        let mut ready_ms = (load_ms + side.busy_ms) as f64;
+        let mut ready_ms = (load_ms + side.load_eta_ms) as f64;
         let (evictions, eviction_loss) = self.select_evictions(endpoint, engine, spec)?;
         let busy = evictions.iter().any(|key| side_rate(endpoint, *key) * RUN_S > 0.5);
         if busy {
@@ -163,7 +163,7 @@
         let used = endpoint.holding.models.iter().chain(loading).map(size).sum::<f64>();
         let adapters = f64::from(engine.adapter_limit) * spec.adapter_mb;
         let mut free = engine.weights_mb - used - adapters;
-        let evictable = endpoint.holding.models.iter().filter(|key| !side.fixed.contains(key));
+        let evictable = endpoint.holding.models.iter().filter(|key| !side.pinned.contains(key));
         let mut order =
             evictable.map(|key| (self.eviction_loss(*key, endpoint), *key)).collect::<Vec<_>>();
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/crates/pool/src/entry/types.rs
+++ b/crates/pool/src/entry/types.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use citronrill_decide::LogEvent;
-use citronrill_wire::{ModelName, SideState, Usage, Want};
+use citronrill_wire::{LoadRequest, ModelName, SideState, UsageReport};
 
 use crate::{member::MemberChange, text::ServingText};
 
@@ -257,9 +257,9 @@
     /// Send a liveness probe to the side of the endpoint at this address.
     Probe(SocketAddr),
     /// Send a load request to the side of the endpoint at this address.
-    Want(SocketAddr, Want),
+    Want(SocketAddr, LoadRequest),
     /// Report the use or miss of a model to the side of the endpoint at this address.
-    Used(SocketAddr, Usage),
+    Used(SocketAddr, UsageReport),
     /// Keep connections to the sides of these endpoints, and to no others.
     Sides(Vec<SocketAddr>),
     /// Write a log line.
--- a/crates/pool/src/entry/wants.rs
+++ b/crates/pool/src/entry/wants.rs
@@ -4,7 +4,7 @@
 
 use citronrill_base::{Millis, ModelKey, rendezvous_score};
 use citronrill_decide::LogEvent;
-use citronrill_wire::Want;
+use citronrill_wire::LoadRequest;
 
 use super::{EntryEffect, PoolEntry, Reason, Request, RequestId, Stage, placement::MISS_COST_MS};
 use crate::{
@@ -38,7 +38,7 @@
 
 /// Load request of this entry for a model or adapter.
 #[derive(Debug, Clone)]
-pub(super) struct LoadRequest {
+pub(super) struct SentLoadRequest {
     pub(super) instance: String,
     address: SocketAddr,
     sent: Millis,
@@ -52,7 +52,7 @@
     pub(super) declined: bool,
 }
 
-impl LoadRequest {
+impl SentLoadRequest {
     /// Returns whether the load request went to the side of the endpoint at `address`.
     pub(super) fn sent_to(&self, address: SocketAddr) -> bool {
         self.address == address
@@ -93,7 +93,7 @@
                 && endpoint.holding.keys.contains(&base)
                 && endpoint.member.service == request.service
                 && endpoint.moves(self.now)
-                && endpoint.fresh_side(self.now).is_some_and(|side| !side.leaving.contains(&base))
+                && endpoint.fresh_side(self.now).is_some_and(|side| !side.evicting.contains(&base))
         };
         if !adapter.is_empty() {
             let holders = self.pool.endpoints.values().filter(held);
@@ -242,7 +242,7 @@
     /// as many: if it stalled, all callers of the adapter would hang with it.
     fn adapter_cost(&self, endpoint: &Endpoint, model: &str, adapter: &str) -> f64 {
         let side = endpoint.fresh_side(self.now);
-        let busy = side.map_or(0, |side| side.order_ms.saturating_sub(self.now.since(side.at)));
+        let busy = side.map_or(0, |side| side.order_eta_ms.saturating_sub(self.now.since(side.at)));
         let name = full_name(model, adapter);
         let affinity = rendezvous_score(&name, &endpoint.member.instance) as f64 / u64::MAX as f64;
         let runs = self.service_runs(&endpoint.member.service);
@@ -263,19 +263,22 @@
         let Some(endpoint) = self.pool.endpoints.get(instance) else { return };
         let address = endpoint.member.address;
         let service = &endpoint.member.service;
-        let fleet =
+        let engines =
             self.pool.endpoints.values().filter(|endpoint| endpoint.member.service == *service);
         let from_store = adapter.is_empty() && !endpoint.holding.has_copy(key);
         let waiting = self.requests.values().filter(|request| {
             request.stage == Stage::Waiting
                 && (request.required == Some(key) || request.base == Some(key))
         });
-        let message = Want {
+        let message = LoadRequest {
             instance: instance.to_owned(),
             model: model.to_owned(),
             adapter: adapter.to_owned(),
-            victims: evictions.iter().map(|key| self.names.name(*key).to_owned()).collect(),
-            fleet: fleet.count() as u32,
+            eviction_candidates: evictions
+                .iter()
+                .map(|key| self.names.name(*key).to_owned())
+                .collect(),
+            engine_count: engines.count() as u32,
             ttl_ms,
             waiting: waiting.count() as u32,
             started: endpoint.started().map(|start| start.0),
@@ -287,11 +290,11 @@
             .with("model", model)
             .with("adapter", adapter)
             .with("at", instance)
-            .with("victims", message.victims.join(","))
+            .with("victims", message.eviction_candidates.join(","))
             .with("rates", rates.join(","))
             .with("waiting", message.waiting)
             .with("sequence", endpoint.holding.sequence);
-        let load_request = LoadRequest {
+        let load_request = SentLoadRequest {
             instance: instance.to_owned(),
             address,
             sent: self.now,
--- a/crates/pool/src/entry/weights.rs
+++ b/crates/pool/src/entry/weights.rs
@@ -116,7 +116,7 @@
             } else {
                 self.store_limit.record_finished(
                     id,
-                    side.store_slow,
+                    side.store_slowdown,
                     side.store_concurrent,
                     self.now,
                 );
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use citronrill_base::{Map, Millis, ModelKey, Names, Set};
+use citronrill_base::{Interner, Map, Millis, ModelKey, Set};
 use citronrill_wire::SideState;
 
 use crate::{
@@ -55,7 +55,7 @@
     pub(crate) fn apply(
         &mut self,
         change: MemberChange,
-        names: &mut Names<ModelKey>,
+        names: &mut Interner<ModelKey>,
         now: Millis,
     ) -> Listed {
         let mut listed = Listed::default();
@@ -130,7 +130,7 @@
     pub(crate) fn serve(
         &mut self,
         services: Set<String>,
-        names: &mut Names<ModelKey>,
+        names: &mut Interner<ModelKey>,
         now: Millis,
     ) -> Listed {
         let mut listed = Listed::default();
@@ -180,7 +180,7 @@
         &mut self,
         member: Member,
         whole: bool,
-        names: &mut Names<ModelKey>,
+        names: &mut Interner<ModelKey>,
         now: Millis,
         listed: &mut Listed,
     ) {
@@ -253,7 +253,7 @@
 
     /// Applies deferred entries of older incarnations that nothing has contradicted for
     /// [`OLDER_START_DELAY_MS`].
-    pub(crate) fn settle_starts(&mut self, names: &mut Names<ModelKey>, now: Millis) -> Listed {
+    pub(crate) fn settle_starts(&mut self, names: &mut Interner<ModelKey>, now: Millis) -> Listed {
         let mut listed = Listed::default();
         let settled = self.endpoints.values_mut().filter_map(|endpoint| {
             endpoint.deferred.take_if(|(_, since)| now.since(*since) >= OLDER_START_DELAY_MS)
@@ -275,7 +275,7 @@
         &mut self,
         address: SocketAddr,
         state: &SideState,
-        names: &mut Names<ModelKey>,
+        names: &mut Interner<ModelKey>,
         now: Millis,
     ) -> Option<ReportOutcome> {
         let over = self.supersede(address, state, now);
@@ -291,7 +291,7 @@
         // The side queries the endpoint itself: a list entry for another incarnation is out of
         // date.
         endpoint.deferred = endpoint.deferred.take().filter(|_| state.started.is_none());
-        if state.sound {
+        if state.healthy {
             endpoint.holding = ModelInventory::from_state(state, names);
         }
         endpoint.life.link();
@@ -306,22 +306,22 @@
         let missed = missed
             .map(|model| (names.intern(&model.name), f64::from(model.rate_milli) / 1_000.0))
             .collect();
-        let fixed = state.models.iter().filter(|model| model.fixed);
-        let fixed = fixed.map(|model| names.intern(&model.name)).collect();
+        let pinned = state.models.iter().filter(|model| model.pinned);
+        let pinned = pinned.map(|model| names.intern(&model.name)).collect();
         endpoint.side = Some(SideView {
             at: now,
             loading: state.loading.iter().map(|name| names.intern(name)).collect(),
-            leaving: state.leaving.iter().map(|name| names.intern(name)).collect(),
+            evicting: state.evicting.iter().map(|name| names.intern(name)).collect(),
             entries: state.entries,
-            sound: state.sound,
-            busy_ms: state.busy_ms,
-            order_ms: state.order_ms,
+            healthy: state.healthy,
+            load_eta_ms: state.load_eta_ms,
+            order_eta_ms: state.order_eta_ms,
             store_loads: state.store_loads,
-            store_slow: state.store_slow,
+            store_slowdown: state.store_slowdown,
             store_overdue: state.store_overdue,
             store_concurrent: state.store_concurrent,
             missed,
-            fixed,
+            pinned,
             rates,
         });
         Some(ReportOutcome { over, anew })
@@ -336,7 +336,7 @@
     fn supersede(&mut self, address: SocketAddr, state: &SideState, now: Millis) -> Option<String> {
         let held = self.by_address.get(&address)?.clone();
         let service = &self.endpoints.get(&held)?.member.service;
-        let valid = state.sound && !state.instance.is_empty() && *service == state.service;
+        let valid = state.healthy && !state.instance.is_empty() && *service == state.service;
         if !valid || held == state.instance {
             return None;
         }
--- a/crates/pool/src/side/mod.rs
+++ b/crates/pool/src/side/mod.rs
@@ -16,7 +16,7 @@
 
 use citronrill_base::{Map, Millis};
 use citronrill_decide::LogEvent;
-use citronrill_wire::{ModelState, SideState, Usage, Want};
+use citronrill_wire::{LoadRequest, ModelState, SideState, UsageReport};
 
 pub use self::types::{
     EngineReport, EntryLink, Order, OrderKind, OrderOutcome, SideEffect, SideEvent,
@@ -66,7 +66,7 @@
 /// An accepted load request, with the models that are evicted for it.
 #[derive(Debug, Clone)]
 struct PlannedLoad {
-    request: Want,
+    request: LoadRequest,
     deadline: Millis,
     /// When it was planned and published to all entries.
     at: Millis,
@@ -105,7 +105,7 @@
     loaded_at: Map<String, Millis>,
     last_store_load: Option<Millis>,
     /// Duration of the last load from the weight store relative to its usual one, in thousandths.
-    store_slow: u32,
+    store_slowdown: u32,
     /// Concurrent loads from the weight store when that one was requested.
     store_concurrent: u32,
     entries: u32,
@@ -136,7 +136,7 @@
             misses: MissRates::default(),
             loaded_at: Map::default(),
             last_store_load: None,
-            store_slow: 0,
+            store_slowdown: 0,
             store_concurrent: 0,
             entries: 0,
             published: None,
@@ -156,7 +156,7 @@
             SideEvent::Text(config) => self.set_config(config),
             SideEvent::Report(report) => self.handle_report(report),
             SideEvent::Want(link, request) => self.handle_load_request(link, request),
-            SideEvent::Used(used) => self.record_usage(&used),
+            SideEvent::Used(report) => self.record_usage(&report),
             SideEvent::Ordered(number, outcome, instance) => {
                 self.handle_outcome(number, outcome);
                 if let Some(instance) = instance {
@@ -271,7 +271,7 @@
         }
         ended.into_iter().for_each(|event| self.log(event));
         if let (Some(issued), None) = (from_store, &self.model_order) {
-            self.store_slow = self.slowness(&issued);
+            self.store_slowdown = self.slowness(&issued);
             self.store_concurrent = issued.concurrent;
         }
         let Some(report) = &self.report else { return };
@@ -284,16 +284,16 @@
         self.config.as_ref()?.service(&self.service)?.engine.as_ref()
     }
 
-    fn record_usage(&mut self, used: &Usage) {
-        if used.missed {
-            self.misses.add(&used.model, self.now);
+    fn record_usage(&mut self, report: &UsageReport) {
+        if report.missed {
+            self.misses.add(&report.model, self.now);
             return;
         }
-        for name in [used.model.clone(), full_name(&used.model, &used.adapter)] {
+        for name in [report.model.clone(), full_name(&report.model, &report.adapter)] {
             let usage = self.usage.entry(name).or_default();
             usage.rate.add(self.now);
             usage.last_used = self.now;
-            if used.adapter.is_empty() {
+            if report.adapter.is_empty() {
                 break;
             }
         }
@@ -394,7 +394,7 @@
             name: model.name.clone(),
             adapters: model.adapters.clone(),
             rate_milli: (usage(&model.name).rate.per_s(self.now) * 1_000.0) as u32,
-            fixed: self.is_protected(&model.name),
+            pinned: self.is_protected(&model.name),
         });
         let store_overdue = self.store_overdue();
         let late = self.model_order.as_ref().filter(|_| store_overdue > 0);
@@ -408,17 +408,17 @@
             in_memory: report.in_memory.clone(),
             on_disk: report.on_disk.clone(),
             loading: loading.collect(),
-            leaving: self.unloading().cloned().collect(),
+            evicting: self.unloading().cloned().collect(),
             active: report.active,
             queued: report.queued,
-            kv_share: report.kv_share,
+            kv_used_milli: report.kv_used_milli,
             entries: self.entries,
-            sound: self.now.since(self.reported_at) <= UNHEALTHY_MS,
-            busy_ms: self.busy_ms(report),
-            order_ms: self.order_ms(report),
+            healthy: self.now.since(self.reported_at) <= UNHEALTHY_MS,
+            load_eta_ms: self.load_eta_ms(report),
+            order_eta_ms: self.order_eta_ms(report),
             store_loads: self.store_loads(report),
-            store_slow: self.store_slow,
-            text: self.text_version(),
+            store_slowdown: self.store_slowdown,
+            config_version: self.text_version(),
             instance: self.incarnation_name.known().unwrap_or_default().to_owned(),
             service: self.service.clone(),
             started: self.incarnation.start_time().map(|start| start.0),
@@ -429,7 +429,7 @@
     }
 
     /// Returns the estimated milliseconds until all planned loads are complete.
-    fn busy_ms(&self, report: &EngineReport) -> u64 {
+    fn load_eta_ms(&self, report: &EngineReport) -> u64 {
         let plan = self.plan.iter().map(|planned| {
             planned.evictions.len() as u64 * TYPICAL_UNLOAD_MS
                 + self.load_ms(report, &planned.request)
@@ -439,7 +439,7 @@
     }
 
     /// Returns the estimated milliseconds until the current model order is complete.
-    fn order_ms(&self, report: &EngineReport) -> u64 {
+    fn order_eta_ms(&self, report: &EngineReport) -> u64 {
         let Some(issued) = &self.model_order else { return 0 };
         let total = match issued.order.kind {
             OrderKind::Load => self.model_load_ms(report, &issued.order.model),
@@ -467,7 +467,7 @@
     }
 
     /// Returns the estimated milliseconds of the requested load on this endpoint.
-    fn load_ms(&self, report: &EngineReport, request: &Want) -> u64 {
+    fn load_ms(&self, report: &EngineReport, request: &LoadRequest) -> u64 {
         if request.adapter.is_empty() {
             self.model_load_ms(report, &request.model)
         } else {
@@ -485,7 +485,7 @@
         } else if report.on_disk.iter().any(|name| name == model) {
             spec.disk_ms
         } else {
-            spec.store_ms * u64::from(self.store_slow.max(1_000)) / 1_000
+            spec.store_ms * u64::from(self.store_slowdown.max(1_000)) / 1_000
         }
     }
 
--- a/crates/pool/src/side/orders.rs
+++ b/crates/pool/src/side/orders.rs
@@ -2,7 +2,7 @@
 
 use citronrill_base::Millis;
 use citronrill_decide::LogEvent;
-use citronrill_wire::Want;
+use citronrill_wire::LoadRequest;
 
 use super::{
     EngineReport, IssuedOrder, Order, OrderKind, OrderOutcome, PlannedLoad, PoolSide, SideEffect,
@@ -106,12 +106,17 @@
             self.plan.retain(|other| other.request != *request);
             return;
         }
-        if report.has_copy(&request.model) || self.take_store_permit(request.fleet, engine) {
+        if report.has_copy(&request.model) || self.take_store_permit(request.engine_count, engine) {
             self.issue(OrderKind::Load, &request.model, "", request, report);
         }
     }
 
-    fn advance_adapter_load(&mut self, request: &Want, report: &EngineReport, engine: &EngineSpec) {
+    fn advance_adapter_load(
+        &mut self,
+        request: &LoadRequest,
+        report: &EngineReport,
+        engine: &EngineSpec,
+    ) {
         let Some(spec) = engine.model(&request.model) else { return };
         if !holds(report, &request.model, "")
             || self.is_unloading(&request.model)
@@ -142,8 +147,8 @@
     ///
     /// Each engine gets an equal share of the store's rate, so that all together stay within it
     /// without a message or a call.
-    fn take_store_permit(&mut self, fleet: u32, engine: &EngineSpec) -> bool {
-        let pause_ms = f64::from(fleet.max(1)) * 1_000.0 / engine.loads_per_s.max(0.001);
+    fn take_store_permit(&mut self, engine_count: u32, engine: &EngineSpec) -> bool {
+        let pause_ms = f64::from(engine_count.max(1)) * 1_000.0 / engine.loads_per_s.max(0.001);
         let early = |at: Millis| (self.now.since(at) as f64) < pause_ms;
         if self.last_store_load.is_some_and(early) {
             return false;
@@ -157,7 +162,7 @@
         kind: OrderKind,
         model: &str,
         adapter: &str,
-        request: &Want,
+        request: &LoadRequest,
         report: &EngineReport,
     ) {
         let Some(token) = self.token else { return };
--- a/crates/pool/src/side/plan.rs
+++ b/crates/pool/src/side/plan.rs
@@ -1,7 +1,7 @@
 //! Which load requests are accepted, and which models are evicted for them.
 
 use citronrill_decide::LogEvent;
-use citronrill_wire::{ModelName, Want};
+use citronrill_wire::{LoadRequest, ModelName};
 
 use super::{EntryLink, OrderKind, PlannedLoad, PoolSide, SideEffect, report::holds};
 
@@ -18,7 +18,7 @@
     /// published to all entries with the next state. Otherwise several entries that act at the same
     /// moment could each rely on the other replicas of a busy model, and all of them would be
     /// unloaded.
-    pub(super) fn handle_load_request(&mut self, link: EntryLink, request: Want) {
+    pub(super) fn handle_load_request(&mut self, link: EntryLink, request: LoadRequest) {
         let deadline = self.now + request.ttl_ms;
         let same = |planned: &&mut PlannedLoad| {
             planned.request.model == request.model && planned.request.adapter == request.adapter
@@ -27,7 +27,7 @@
             known.deadline = known.deadline.max(deadline);
             return;
         }
-        let candidates = request.victims.clone();
+        let candidates = request.eviction_candidates.clone();
         let known = self.incarnation.start_time().map(|start| start.0);
         let other_incarnation =
             request.started.zip(known).is_some_and(|(requested, known)| requested != known);
@@ -85,7 +85,7 @@
     }
 
     /// Returns the models to evict for the requested model, or `None` if it cannot be loaded.
-    fn choose_evictions(&self, request: &Want) -> Option<Vec<String>> {
+    fn choose_evictions(&self, request: &LoadRequest) -> Option<Vec<String>> {
         let report = self.report.as_ref()?;
         let engine = self.engine()?;
         let size = |name: &str| engine.model(name).map_or(0.0, |spec| spec.weights_mb);
@@ -96,7 +96,7 @@
         let adapters = f64::from(engine.adapter_limit) * spec.adapter_mb;
         let mut free = self.free_mb() - adapters;
         let mut evictions = Vec::new();
-        let mut candidates = request.victims.iter().filter(|name| {
+        let mut candidates = request.eviction_candidates.iter().filter(|name| {
             holds(report, name, "") && !self.is_unloading(name) && !self.is_protected(name)
         });
         while free < spec.weights_mb {
--- a/crates/pool/src/side/report.rs
+++ b/crates/pool/src/side/report.rs
@@ -15,19 +15,19 @@
         let models = state
             .models
             .iter()
-            .map(|model| (model.name.clone(), model.adapters.clone(), model.fixed));
+            .map(|model| (model.name.clone(), model.adapters.clone(), model.pinned));
         models.collect::<Vec<_>>()
     };
     a.sequence == b.sequence
         && a.loading == b.loading
-        && a.leaving == b.leaving
-        && a.sound == b.sound
+        && a.evicting == b.evicting
+        && a.healthy == b.healthy
         && a.store_loads == b.store_loads
-        && a.store_slow == b.store_slow
+        && a.store_slowdown == b.store_slowdown
         && a.store_overdue == b.store_overdue
         && a.instance == b.instance
         && a.started == b.started
-        && a.text == b.text
+        && a.config_version == b.config_version
         && names(a) == names(b)
 }
 
--- a/crates/pool/src/side/types.rs
+++ b/crates/pool/src/side/types.rs
@@ -3,7 +3,7 @@
 use std::{fmt, sync::Arc};
 
 use citronrill_decide::LogEvent;
-use citronrill_wire::{ModelName, SideState, Usage, Want};
+use citronrill_wire::{LoadRequest, ModelName, SideState, UsageReport};
 
 use crate::{member::HeldModel, start::StartTime, text::ServingText};
 
@@ -25,7 +25,7 @@
     /// Queued requests.
     pub queued: u32,
     /// Memory for prompts in use, in thousandths.
-    pub kv_share: u32,
+    pub kv_used_milli: u32,
     /// Models with cached weights in the instance's memory.
     pub in_memory: Vec<String>,
     /// Models with cached weights on the instance's disk.
@@ -99,9 +99,9 @@
     /// The endpoint reported its state; `None` if it did not answer.
     Report(Option<EngineReport>),
     /// An entry requests a model or adapter.
-    Want(EntryLink, Want),
+    Want(EntryLink, LoadRequest),
     /// An entry has dispatched a request to the endpoint, or found no replica with room for it.
-    Used(Usage),
+    Used(UsageReport),
     /// The endpoint answered an order; with its name if the order was meant for another
     /// incarnation.
     Ordered(u64, OrderOutcome, Option<String>),
--- a/crates/pool/tests/all/copies.rs
+++ b/crates/pool/tests/all/copies.rs
@@ -8,7 +8,7 @@
 
 use citronrill_base::Millis;
 use citronrill_pool::{CopyEffect, CopyEvent, CopyFetch, CopyPatience, CopyServer, EntryLink};
-use citronrill_wire::{TextAsk, TextCopy, TextPart};
+use citronrill_wire::{ConfigChunk, ConfigChunkRequest, EncodedConfig};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rstest::rstest;
 
@@ -18,13 +18,13 @@
 type Fetch = CopyFetch<EntryLink>;
 type Effect = CopyEffect<EntryLink>;
 
-fn encoded_config(version: u64, size: usize) -> TextCopy {
+fn encoded_config(version: u64, size: usize) -> EncodedConfig {
     let bytes = (0..size).map(|index| (index * 7 + version as usize) as u8).collect();
-    TextCopy { version, bytes }
+    EncodedConfig { version, bytes }
 }
 
 /// Returns the answer of a peer that serves nobody else.
-fn chunk(encoded_config: &TextCopy, request: &TextAsk) -> TextPart {
+fn chunk(encoded_config: &EncodedConfig, request: &ConfigChunkRequest) -> ConfigChunk {
     CopyServer::default().answer(Millis(0), A, request, Some(encoded_config))
 }
 
@@ -35,7 +35,7 @@
     fetch
 }
 
-fn requested(effects: &[Effect]) -> Option<(EntryLink, TextAsk)> {
+fn requested(effects: &[Effect]) -> Option<(EntryLink, ConfigChunkRequest)> {
     effects.iter().find_map(|effect| match effect {
         CopyEffect::Ask(peer, request) => Some((*peer, request.clone())),
         _ => None,
@@ -44,7 +44,7 @@
 
 /// Lets peer A offer version 2 and advances to the first chunk request; returns it, its peer and
 /// the time.
-fn first_request(fetch: &mut Fetch) -> (EntryLink, TextAsk, Millis) {
+fn first_request(fetch: &mut Fetch) -> (EntryLink, ConfigChunkRequest, Millis) {
     let offered = fetch.step(Millis(0), CopyEvent::Offered(A, 2));
     assert_eq!(requested(&offered), None);
     let at = fetch.wake().unwrap();
@@ -165,7 +165,7 @@
 fn busy_peer_is_asked_again_after_a_pause() {
     let mut fetch = entry();
     let (peer, _, at) = first_request(&mut fetch);
-    assert_eq!(fetch.step(at, CopyEvent::Part(peer, TextPart::default())), Vec::new());
+    assert_eq!(fetch.step(at, CopyEvent::Part(peer, ConfigChunk::default())), Vec::new());
     let later = fetch.wake().unwrap();
     assert!(later > at + 50);
     assert_eq!(requested(&fetch.step(later, CopyEvent::Tick)).unwrap().0, peer);
@@ -173,10 +173,10 @@
 
 /// Invalid chunks: a wrong offset, an excessive total size, an older version.
 #[rstest]
-#[case::gap(TextPart { version: 2, offset: 9, total: 50, bytes: vec![1] })]
-#[case::oversized(TextPart { version: 2, offset: 0, total: u64::MAX, bytes: vec![1] })]
-#[case::older(TextPart { version: 1, offset: 0, total: 1, bytes: vec![1] })]
-fn invalid_chunk_is_dropped(#[case] part: TextPart) {
+#[case::gap(ConfigChunk { version: 2, offset: 9, total: 50, bytes: vec![1] })]
+#[case::oversized(ConfigChunk { version: 2, offset: 0, total: u64::MAX, bytes: vec![1] })]
+#[case::older(ConfigChunk { version: 1, offset: 0, total: 1, bytes: vec![1] })]
+fn invalid_chunk_is_dropped(#[case] part: ConfigChunk) {
     let mut fetch = entry();
     let (peer, _, at) = first_request(&mut fetch);
     assert_eq!(fetch.step(at, CopyEvent::Part(peer, part)), Vec::new());
@@ -189,7 +189,7 @@
 fn process_serves_two_peers_at_a_time() {
     let config = encoded_config(2, 20_000);
     let mut server = CopyServer::default();
-    let request = |offset| TextAsk { version: 2, offset };
+    let request = |offset| ConfigChunkRequest { version: 2, offset };
     let mut served = |at, peer, offset| {
         let part = server.answer(Millis(at), EntryLink(peer), &request(offset), Some(&config));
         !part.bytes.is_empty()
@@ -200,7 +200,7 @@
     assert!(served(30, 3, 0));
     assert!(!served(900, 4, 0));
     assert!(served(1_040, 4, 0), "2 and 3 have requested nothing since");
-    assert_eq!(server.answer(Millis(1_050), A, &request(0), None), TextPart::default());
+    assert_eq!(server.answer(Millis(1_050), A, &request(0), None), ConfigChunk::default());
 }
 
 /// An event in [`Network`].
@@ -217,7 +217,7 @@
 
 /// Entries with the given link rates (bytes per millisecond), and sides that fetch from them.
 struct Network {
-    config: TextCopy,
+    config: EncodedConfig,
     rates: Vec<u64>,
     has_config: Vec<bool>,
     servers: Vec<CopyServer<usize>>,
@@ -277,9 +277,9 @@
                     self.answer(now, side, entry, request)
                 }
                 NetworkEvent::AnswerReceived(side, entry, (offset, bytes)) => {
-                    let request = TextAsk { version: 2, offset };
+                    let request = ConfigChunkRequest { version: 2, offset };
                     let part = if bytes == 0 {
-                        TextPart::default()
+                        ConfigChunk::default()
                     } else {
                         chunk(&self.config, &request)
                     };
@@ -293,7 +293,7 @@
 
     fn answer(&mut self, now: u64, side: usize, entry: usize, request: (u64, u64)) {
         let encoded_config = self.has_config[entry].then_some(&self.config);
-        let request = TextAsk { version: request.0, offset: request.1 };
+        let request = ConfigChunkRequest { version: request.0, offset: request.1 };
         let part = self.servers[entry].answer(Millis(now), side, &request, encoded_config);
         let bytes = part.bytes.len() as u64;
         self.sent += bytes;
@@ -374,7 +374,7 @@
     let mut fetch = Fetch::new(patience, seed);
     let (mut now, mut own) = (0, 0);
     let mut offers = BTreeMap::<EntryLink, u64>::new();
-    let mut open = None::<(EntryLink, TextAsk)>;
+    let mut open = None::<(EntryLink, ConfigChunkRequest)>;
     for _ in 0..20_000 {
         now += random.random_range(0..300);
         let peer = EntryLink(random.random_range(0..4));
@@ -414,13 +414,20 @@
 }
 
 /// Returns a matching answer to the open request, a "busy" answer, or an arbitrary one.
-fn random_part(random: &mut StdRng, open: Option<&(EntryLink, TextAsk)>, most: u64) -> TextPart {
+fn random_part(
+    random: &mut StdRng,
+    open: Option<&(EntryLink, ConfigChunkRequest)>,
+    most: u64,
+) -> ConfigChunk {
     let (version, offset) = open.map_or((0, 0), |(_, request)| (request.version, request.offset));
     match random.random_range(0..4) {
-        0 => TextPart::default(),
-        1 => {
-            TextPart { version: random.random_range(0..most + 3), offset, total: 9, bytes: vec![1] }
-        }
-        _ => TextPart { version, offset, total: offset + 2, bytes: vec![1] },
+        0 => ConfigChunk::default(),
+        1 => ConfigChunk {
+            version: random.random_range(0..most + 3),
+            offset,
+            total: 9,
+            bytes: vec![1],
+        },
+        _ => ConfigChunk { version, offset, total: offset + 2, bytes: vec![1] },
     }
 }
--- a/crates/pool/tests/all/missed.rs
+++ b/crates/pool/tests/all/missed.rs
@@ -2,7 +2,7 @@
 
 use citronrill_base::Millis;
 use citronrill_pool::{EntryEffect, EntryEvent, EntryProfile, PoolEntry, PoolSide, SideEvent};
-use citronrill_wire::{ModelRate, SideState, Usage};
+use citronrill_wire::{ModelRate, SideState, UsageReport};
 
 use crate::support::{
     Bench, ENGINE, address, bare, config, report, requested_load, state_with_rates,
@@ -13,7 +13,8 @@
     let mut side = PoolSide::new(ENGINE);
     side.step(Millis(0), SideEvent::Text(config(1)));
     let step = |side: &mut PoolSide, ms: u64, model: &str| {
-        let missed = Usage { model: model.to_owned(), missed: true, ..Usage::default() };
+        let missed =
+            UsageReport { model: model.to_owned(), missed: true, ..UsageReport::default() };
         side.step(Millis(ms), SideEvent::Used(missed));
     };
     for ms in (0..10_000).step_by(100) {
--- a/crates/pool/tests/all/placement.rs
+++ b/crates/pool/tests/all/placement.rs
@@ -28,7 +28,7 @@
     let (_, effects) = bench.request("/draft/x", "m5");
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!((at, load_request.model.as_str()), (address(1), "m5"));
-    assert!(load_request.victims.is_empty(), "memory suffices for both models");
+    assert!(load_request.eviction_candidates.is_empty(), "memory suffices for both models");
     let effects = bench.step(EntryEvent::Side(address(1), state(2, &["m0", "m5"])));
     assert_eq!(dispatch(&effects).unwrap().instance, "i1");
 }
@@ -41,9 +41,9 @@
     let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
     let mut bench = Bench::new(members.clone());
     bench.step(EntryEvent::Side(address(2), state(3, &["m0"])));
-    let mut leaving = state(3, &["m0"]);
-    leaving.leaving = vec!["m0".to_owned()];
-    bench.step(EntryEvent::Side(address(1), leaving));
+    let mut evicting = state(3, &["m0"]);
+    evicting.evicting = vec!["m0".to_owned()];
+    bench.step(EntryEvent::Side(address(1), evicting));
     bench.set_members(9, members);
     for _ in 0..8 {
         let (_, effects) = bench.request("/chat/x", "m0");
@@ -63,7 +63,7 @@
     let (_, effects) = bench.request("/draft/x", "m7");
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!(at, address(2));
-    assert_eq!(load_request.victims, vec!["m2".to_owned()]);
+    assert_eq!(load_request.eviction_candidates, vec!["m2".to_owned()]);
 }
 
 /// In a burst of requests for rare models, a replica of a busy model is the cheapest eviction for
@@ -78,7 +78,10 @@
     for rare in ["m5", "m6", "m7"] {
         let (_, effects) = bench.request("/draft/x", rare);
         if let Some((_, load_request)) = requested_load(&effects) {
-            assert!(!load_request.victims.contains(&"m0".to_owned()), "{rare} evicts m0");
+            assert!(
+                !load_request.eviction_candidates.contains(&"m0".to_owned()),
+                "{rare} evicts m0"
+            );
         }
     }
 }
@@ -103,7 +106,7 @@
             let state = SideState {
                 loading: vec![load_request.model.clone()],
                 store_loads: 1,
-                busy_ms: 6_000,
+                load_eta_ms: 6_000,
                 ..empty()
             };
             loading += 1;
@@ -187,7 +190,11 @@
     bench.step(EntryEvent::Side(address(1), busy(&[("m0", 0), ("m3", 1)])));
     let (_, effects) = bench.request("/draft/x", "m7");
     let (_, load_request) = requested_load(&effects).unwrap();
-    assert!(!load_request.victims.contains(&"m0".to_owned()), "{:?}", load_request.victims);
+    assert!(
+        !load_request.eviction_candidates.contains(&"m0".to_owned()),
+        "{:?}",
+        load_request.eviction_candidates
+    );
 }
 
 /// An endpoint crashed and restarted under a new name that its side knows but the member list does
@@ -252,7 +259,7 @@
     let effects = bench.advance(20);
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!((at, load_request.model.as_str()), (address(2), "m0"));
-    assert!(load_request.victims.is_empty());
+    assert!(load_request.eviction_candidates.is_empty());
     bench.step(EntryEvent::Side(address(2), busy(&[("m1", 1), ("m0", 0)])));
     assert!(requested_load(&bench.advance(1_000)).is_none(), "one spare replica is enough");
 }
@@ -314,9 +321,9 @@
 #[test]
 fn load_requested_by_another_entry_is_waited_for() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
-    let loading_state = |busy_ms| {
+    let loading_state = |load_eta_ms| {
         let loading = vec!["m5".to_owned()];
-        EntryEvent::Side(address(1), SideState { loading, busy_ms, ..state(1, &["m0"]) })
+        EntryEvent::Side(address(1), SideState { loading, load_eta_ms, ..state(1, &["m0"]) })
     };
     bench.step(loading_state(700));
     bench.step(EntryEvent::Side(address(2), state(1, &["m1"])));
@@ -353,7 +360,7 @@
     for (busy, free) in [(1, 2), (2, 1)] {
         let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
         let mut bench = Bench::new(members);
-        let loading = SideState { order_ms: 900, ..state(1, &["m0"]) };
+        let loading = SideState { order_eta_ms: 900, ..state(1, &["m0"]) };
         bench.step(EntryEvent::Side(address(busy), loading));
         bench.step(EntryEvent::Side(address(free), state(1, &["m0"])));
         let (_, effects) = bench.request("/chat/x", "m0/a3");
@@ -422,7 +429,7 @@
     let effects = initial_effects(pool);
     let (at, load_request) = requested_load(&effects).expect("a third replica is requested");
     assert_eq!((at, load_request.model.as_str()), (address(3), "m0"));
-    assert!(load_request.victims.is_empty());
+    assert!(load_request.eviction_candidates.is_empty());
 }
 
 /// The same, but the third instance is full of models in demand: evicting one of them would cost
--- a/crates/pool/tests/all/side.rs
+++ b/crates/pool/tests/all/side.rs
@@ -4,7 +4,7 @@
 use citronrill_pool::{
     EngineReport, EntryLink, Order, OrderKind, OrderOutcome, PoolSide, SideEffect, SideEvent,
 };
-use citronrill_wire::{SideState, Usage, Want};
+use citronrill_wire::{LoadRequest, SideState, UsageReport};
 
 use crate::support::{ENGINE, config, load_request, report};
 
@@ -35,7 +35,7 @@
         self.step(SideEvent::Report(Some(report)))
     }
 
-    pub(crate) fn request_load(&mut self, load_request: Want) -> Vec<SideEffect> {
+    pub(crate) fn request_load(&mut self, load_request: LoadRequest) -> Vec<SideEffect> {
         self.step(SideEvent::Want(LINK, load_request))
     }
 
@@ -75,7 +75,7 @@
     assert!(orders(&effects).is_empty(), "the eviction must be reported to entries first");
     let state = published(&effects).unwrap();
     assert_eq!(
-        (&state.leaving[..], &state.loading[..]),
+        (&state.evicting[..], &state.loading[..]),
         (&["m0".to_owned()][..], &["m5".to_owned()][..])
     );
     let first = orders(&bench.report(report(1, &["m0", "m1"]))).remove(0);
@@ -152,7 +152,7 @@
     bench.report(report(0, &[]));
     assert!(bench.side.state().unwrap().loading.is_empty());
     bench.step(SideEvent::Named("i2".to_owned()));
-    let current = Want { instance: "i2".to_owned(), ..load_request("m5", &[]) };
+    let current = LoadRequest { instance: "i2".to_owned(), ..load_request("m5", &[]) };
     let order = orders(&bench.request_load(current)).remove(0);
     assert_eq!((order.sequence, order.token, order.instance.as_str()), (0, 1, "i2"));
 }
@@ -197,7 +197,7 @@
     bench.request_load(load_request("m5", &["m1"]));
     let unload = orders(&bench.report(report(1, &["m0", "m1"]))).remove(0);
     bench.accepted(&unload);
-    bench.request_load(Want { adapter: "a1".to_owned(), ..load_request("m0", &[]) });
+    bench.request_load(LoadRequest { adapter: "a1".to_owned(), ..load_request("m0", &[]) });
     let busy = EngineReport { busy: true, ..report(2, &["m0", "m1"]) };
     assert!(orders(&bench.report(busy)).is_empty());
     let next = orders(&bench.report(report(2, &["m0"]))).remove(0);
@@ -213,7 +213,7 @@
     full.models[0].adapters = vec!["a1".to_owned(), "a2".to_owned()];
     bench.report(full.clone());
     let used = |adapter: &str| {
-        SideEvent::Used(Usage {
+        SideEvent::Used(UsageReport {
             model: "m0".to_owned(),
             adapter: adapter.to_owned(),
             missed: false,
@@ -222,7 +222,8 @@
     bench.step(used("a1"));
     bench.now += 500;
     bench.step(used("a2"));
-    let effects = bench.request_load(Want { adapter: "a3".to_owned(), ..load_request("m0", &[]) });
+    let effects =
+        bench.request_load(LoadRequest { adapter: "a3".to_owned(), ..load_request("m0", &[]) });
     let order = orders(&effects).remove(0);
     assert_eq!((order.kind, order.adapter.as_str()), (OrderKind::Unload, "a1"));
 }
@@ -237,13 +238,19 @@
         ..report(sequence, models)
     };
     bench.report(uncached(1, &["m0"]));
-    let load = orders(&bench.request_load(Want { fleet: 28, ..load_request("m5", &[]) })).remove(0);
+    let load =
+        orders(&bench.request_load(LoadRequest { engine_count: 28, ..load_request("m5", &[]) }))
+            .remove(0);
     bench.accepted(&load);
     bench.now += 1_000;
     bench.report(uncached(2, &["m0", "m5"]));
     bench.now += 400;
     bench.report(uncached(2, &["m0", "m5"]));
-    bench.request_load(Want { fleet: 28, ttl_ms: 9_000, ..load_request("m6", &["m5"]) });
+    bench.request_load(LoadRequest {
+        engine_count: 28,
+        ttl_ms: 9_000,
+        ..load_request("m6", &["m5"])
+    });
     let unload = orders(&bench.report(uncached(2, &["m0", "m5"]))).remove(0);
     bench.accepted(&unload);
     assert!(orders(&bench.report(uncached(3, &["m0"]))).is_empty(), "too early");
@@ -263,7 +270,7 @@
     let effects = bench.step(SideEvent::Ordered(order.number, OrderOutcome::Rejected, named));
     assert_eq!(published(&effects).unwrap().instance, "i9");
     assert_eq!(declines(&bench.request_load(load_request("m6", &[]))), 1);
-    let current = Want { instance: "i9".to_owned(), ..load_request("m6", &[]) };
+    let current = LoadRequest { instance: "i9".to_owned(), ..load_request("m6", &[]) };
     assert_eq!(declines(&bench.request_load(current)), 0);
 }
 
@@ -283,7 +290,7 @@
     );
     let effects = bench.step(SideEvent::Named("i2".to_owned()));
     assert_eq!(published(&effects).unwrap().instance, "i2");
-    let current = Want { instance: "i2".to_owned(), ..load_request("m5", &[]) };
+    let current = LoadRequest { instance: "i2".to_owned(), ..load_request("m5", &[]) };
     assert_eq!(orders(&bench.request_load(current))[0].instance, "i2");
 }
 
@@ -324,6 +331,6 @@
     bench.request_load(load_request("m6", &["m0"]));
     bench.now += 300;
     let state = bench.side.state().unwrap();
-    assert!((1..=800).contains(&state.order_ms), "{}", state.order_ms);
-    assert!(state.busy_ms > 800, "{}", state.busy_ms);
+    assert!((1..=800).contains(&state.order_eta_ms), "{}", state.order_eta_ms);
+    assert!(state.load_eta_ms > 800, "{}", state.load_eta_ms);
 }
--- a/crates/pool/tests/all/start.rs
+++ b/crates/pool/tests/all/start.rs
@@ -4,7 +4,7 @@
     EngineReport, EntryEffect, EntryEvent, Member, MemberChange, Order, OrderOutcome, PoolSide,
     SideEffect, SideEvent, StartTime,
 };
-use citronrill_wire::{SideState, Want};
+use citronrill_wire::{LoadRequest, SideState};
 use rstest::rstest;
 
 use crate::{
@@ -123,8 +123,9 @@
     side.step(SideEvent::Ordered(lost.number, OrderOutcome::Unknown, None));
     side.report(report_started(report(0, &[]), SECOND));
     side.step(SideEvent::Named("i1".to_owned()));
-    let next = order(&side.request_load(Want { started: Some(SECOND), ..load_request("m6", &[]) }))
-        .unwrap();
+    let next =
+        order(&side.request_load(LoadRequest { started: Some(SECOND), ..load_request("m6", &[]) }))
+            .unwrap();
     assert!(next.token > lost.token, "{} after {}", next.token, lost.token);
     side.step(SideEvent::Ordered(next.number, OrderOutcome::Conflict, None));
     let busy = EngineReport { busy: true, ..report_started(report(1, &[]), SECOND) };
@@ -150,9 +151,11 @@
 #[test]
 fn load_request_for_the_previous_incarnation_is_declined() {
     let mut side = side_of(SECOND, 0);
-    assert!(declined(&side.request_load(Want { started: Some(FIRST), ..load_request("m5", &[]) })));
+    assert!(declined(
+        &side.request_load(LoadRequest { started: Some(FIRST), ..load_request("m5", &[]) })
+    ));
     assert!(!declined(
-        &side.request_load(Want { started: Some(SECOND), ..load_request("m5", &[]) })
+        &side.request_load(LoadRequest { started: Some(SECOND), ..load_request("m5", &[]) })
     ));
 }
 
--- a/crates/pool/tests/all/stock.rs
+++ b/crates/pool/tests/all/stock.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 
 use citronrill_pool::{EntryEffect, EntryEvent, Member, MemberChange};
-use citronrill_wire::{SideState, Want};
+use citronrill_wire::{LoadRequest, SideState};
 
 use crate::support::{Bench, address, bare, config, requested_load, state_with_rates};
 
-fn load_requests(effects: &[EntryEffect]) -> Vec<&Want> {
+fn load_requests(effects: &[EntryEffect]) -> Vec<&LoadRequest> {
     let mut found = Vec::new();
     for effect in effects {
         if let EntryEffect::Want(_, load_request) = effect {
@@ -67,7 +67,7 @@
     let effects = bench.advance(300);
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!((at, load_request.model.as_str(), load_request.waiting), (address(6), "m1", 0));
-    assert!(load_request.victims.is_empty(), "nothing is evicted for it");
+    assert!(load_request.eviction_candidates.is_empty(), "nothing is evicted for it");
     assert_eq!(load_requests(&effects).len(), 1, "it is requested once");
 }
 
@@ -122,7 +122,7 @@
     };
     let loading_state = SideState {
         loading: vec!["m0".to_owned()],
-        busy_ms: 5_500,
+        load_eta_ms: 5_500,
         store_loads: 1,
         ..state_with_rates(&[])
     };
@@ -156,7 +156,7 @@
     bench.step(EntryEvent::Text(Arc::new(long_timeouts)));
     let loading_state = SideState {
         loading: vec!["m0".to_owned()],
-        busy_ms: 5_500,
+        load_eta_ms: 5_500,
         store_loads: 1,
         ..state_with_rates(&[])
     };
--- a/crates/pool/tests/all/support.rs
+++ b/crates/pool/tests/all/support.rs
@@ -8,7 +8,7 @@
     EntryProfile, HeldModel, Member, MemberChange, ModelSpec, PoolEntry, Reason, Repeat, RequestId,
     Route, Sending, Service, ServingText, TokenCount,
 };
-use citronrill_wire::{ModelState, SideState, Want};
+use citronrill_wire::{LoadRequest, ModelState, SideState};
 
 pub(crate) const ENGINE: &str = "engine";
 pub(crate) const PLAIN: &str = "plain";
@@ -110,7 +110,7 @@
         models: models.iter().map(model).collect(),
         on_disk: (0..10).map(|index| format!("m{index}")).collect(),
         entries: 1,
-        sound: true,
+        healthy: true,
         service: ENGINE.to_owned(),
         ..SideState::default()
     }
@@ -146,15 +146,15 @@
     }
 }
 
-pub(crate) fn load_request(model: &str, victims: &[&str]) -> Want {
-    Want {
+pub(crate) fn load_request(model: &str, candidates: &[&str]) -> LoadRequest {
+    LoadRequest {
         instance: "i1".to_owned(),
         model: model.to_owned(),
-        victims: victims.iter().map(|name| (*name).to_owned()).collect(),
-        fleet: 2,
+        eviction_candidates: candidates.iter().map(|name| (*name).to_owned()).collect(),
+        engine_count: 2,
         ttl_ms: 5_000,
         waiting: 1,
-        ..Want::default()
+        ..LoadRequest::default()
     }
 }
 
@@ -285,7 +285,7 @@
 }
 
 /// Returns the first load request among the effects and the endpoint it is addressed to.
-pub(crate) fn requested_load(effects: &[EntryEffect]) -> Option<(SocketAddr, &Want)> {
+pub(crate) fn requested_load(effects: &[EntryEffect]) -> Option<(SocketAddr, &LoadRequest)> {
     effects.iter().find_map(|effect| match effect {
         EntryEffect::Want(address, load_request) => Some((*address, load_request)),
         _ => None,
--- a/crates/pool/tests/all/waiting.rs
+++ b/crates/pool/tests/all/waiting.rs
@@ -31,7 +31,7 @@
     let bare = SideState { on_disk: Vec::new(), ..state(1, &["m0"]) };
     let loading = SideState {
         loading: vec!["m5".to_owned()],
-        busy_ms: load_ms,
+        load_eta_ms: load_ms,
         store_loads: 1,
         ..bare.clone()
     };
@@ -80,7 +80,7 @@
         bench.now += 10;
         let late = SideState {
             loading: vec!["m5".to_owned()],
-            busy_ms: 500,
+            load_eta_ms: 500,
             store_loads: 1,
             on_disk: Vec::new(),
             ..state(1, &["m0"])
--- a/crates/runtime/src/apply.rs
+++ b/crates/runtime/src/apply.rs
@@ -3,7 +3,7 @@
 use citronrill_base::{Outcome, Row, Txn};
 use citronrill_config::{Catalogue, ConfigErrors, Delta, Registry, digest};
 use citronrill_decide::rows::{DeltaRow, HEAD, HeadRow, decode, delta_key};
-use citronrill_platform::{Objects, PlatformError, Table};
+use citronrill_platform::{ObjectStore, PlatformError, Table};
 use prost::Message;
 use thiserror::Error;
 
@@ -82,7 +82,7 @@
 /// The platform store does not answer, or has lost the configuration.
 pub fn current_text(
     table: &dyn Table,
-    objects: &dyn Objects,
+    objects: &dyn ObjectStore,
 ) -> Result<(HeadRow, String), ApplyError> {
     let (head, _) = head(table)?;
     if head.version == 0 {
@@ -111,7 +111,7 @@
 /// answer.
 pub fn apply_text(
     table: &dyn Table,
-    objects: &dyn Objects,
+    objects: &dyn ObjectStore,
     file: &str,
     config: &str,
     base: Option<u64>,
--- a/crates/runtime/src/connect.rs
+++ b/crates/runtime/src/connect.rs
@@ -247,5 +247,5 @@
 /// As [`ask_dump`]. Text that is not valid JSON is reported as an unexpected frame.
 pub fn dump_json(address: SocketAddr, secret: &str) -> Result<serde_json::Value, WireError> {
     let text = ask_dump(address, secret)?;
-    serde_json::from_str(&text).map_err(|_| WireError::OutOfTurn)
+    serde_json::from_str(&text).map_err(|_| WireError::UnexpectedFrame)
 }
--- a/crates/runtime/src/entry/control.rs
+++ b/crates/runtime/src/entry/control.rs
@@ -11,7 +11,7 @@
     rows::{FEED, HeadRow},
 };
 use citronrill_http::{Header, respond};
-use citronrill_platform::{Objects, Table};
+use citronrill_platform::{ObjectStore, Table};
 use citronrill_wire::{self as wire};
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 
@@ -37,7 +37,7 @@
     entry: Entry,
     session: u64,
     table: Arc<dyn Table>,
-    objects: Arc<dyn Objects>,
+    objects: Arc<dyn ObjectStore>,
     pulls: HashMap<u64, (Arc<Link>, u64)>,
     next_pull: u64,
     last_tick: Instant,
@@ -51,7 +51,7 @@
         entry: Entry,
         session: u64,
         table: Arc<dyn Table>,
-        objects: Arc<dyn Objects>,
+        objects: Arc<dyn ObjectStore>,
     ) -> Control {
         let now = Instant::now();
         Control {
@@ -112,8 +112,9 @@
                 link.send(wire::DumpReply { json }.into());
             }
             Input::ConfigRequest(link, version) => {
-                let text = (self.entry.version() == version).then(|| self.entry.text().to_owned());
-                link.send(wire::TextReply { version, text }.into());
+                let config =
+                    (self.entry.version() == version).then(|| self.entry.text().to_owned());
+                link.send(wire::ConfigReply { version, config }.into());
             }
             Input::FeedPull(link, id, since) => {
                 self.next_pull += 1;
@@ -219,14 +220,14 @@
                 self.send_frame(to, frame.into());
             }
             Effect::Heard { to, model } => {
-                self.send_frame(to, wire::Verdict { model, kind: DEMAND_ACKED }.into());
+                self.send_frame(to, wire::DemandReply { model, kind: DEMAND_ACKED }.into());
             }
             Effect::Verdict { to, model, kind } => {
                 let kind = refusal_number(kind);
-                self.send_frame(to, wire::Verdict { model, kind }.into());
+                self.send_frame(to, wire::DemandReply { model, kind }.into());
             }
             Effect::Poke { address, from, .. } => {
-                self.send_frame(address, wire::Poke { from }.into());
+                self.send_frame(address, wire::RowChanged { reply_to: from }.into());
             }
             Effect::Announce { to, row } => {
                 let page = Page { rows: vec![row], ..Page::default() };
@@ -318,7 +319,7 @@
                 return shared.event(Event::Text { version: head.version, text });
             }
             for address in peers {
-                shared.links.send(&address, wire::TextPull { version: head.version }.into());
+                shared.links.send(&address, wire::ConfigRequest { version: head.version }.into());
             }
         });
     }
--- a/crates/runtime/src/entry/exchange.rs
+++ b/crates/runtime/src/entry/exchange.rs
@@ -347,37 +347,37 @@
                 None
             }
             Kind::Declined(declined) => {
-                let reason = Decline::from_number(declined.why).unwrap_or(Decline::Busy);
-                Some(Outcome::Declined(reason, declined.load))
+                let reason = Decline::from_number(declined.reason).unwrap_or(Decline::Busy);
+                Some(Outcome::Declined(reason, declined.active_calls))
             }
-            Kind::Head(head) if self.next_part == 0 => {
+            Kind::ResponseHead(head) if self.next_part == 0 => {
                 self.next_part = 1;
                 self.status = head.status as u16;
                 self.headers = front::from_wire(head.headers);
                 None
             }
-            Kind::Part(part) if part.sequence == self.next_part => {
+            Kind::ResponsePart(part) if part.sequence == self.next_part => {
                 self.next_part += 1;
                 self.forward(&part.data)
             }
             // A duplicate, sent again after a resume.
-            Kind::Head(_) => None,
-            Kind::Part(part) if part.sequence < self.next_part => None,
-            Kind::Part(_) => Some(self.resume()),
-            Kind::End(end) if !end.whole => Some(Outcome::Lost),
-            Kind::End(end) if end.sequence == self.next_part && self.next_part > 0 => {
-                Some(Outcome::Complete { load: end.load })
+            Kind::ResponseHead(_) => None,
+            Kind::ResponsePart(part) if part.sequence < self.next_part => None,
+            Kind::ResponsePart(_) => Some(self.resume()),
+            Kind::ResponseEnd(end) if !end.complete => Some(Outcome::Lost),
+            Kind::ResponseEnd(end) if end.sequence == self.next_part && self.next_part > 0 => {
+                Some(Outcome::Complete { load: end.active_calls })
             }
-            Kind::End(_) => Some(self.resume()),
-            Kind::Cancelled(cancelled) => self.handle_cancelled(cancelled.answer),
+            Kind::ResponseEnd(_) => Some(self.resume()),
+            Kind::Cancelled(cancelled) => self.handle_cancelled(cancelled.outcome),
             _ => None,
         }
     }
 
     /// Handles the side's reply to a cancellation, or to a resume of a call whose response it does
     /// not have.
-    fn handle_cancelled(&mut self, answer: u32) -> Option<Outcome> {
-        let answer = match answer {
+    fn handle_cancelled(&mut self, outcome: u32) -> Option<Outcome> {
+        let answer = match outcome {
             0 => CancelAnswer::NotRun,
             1 => CancelAnswer::Ran,
             _ => CancelAnswer::Unknown,
@@ -458,7 +458,7 @@
         if self.next_part - self.acked_parts > WINDOW / 4 {
             self.acked_parts = self.next_part;
             let (number, taken) = (self.attempt.call, self.next_part);
-            self.link.send(wire::PartAck { number, taken }.into());
+            self.link.send(wire::ResponseAck { number, taken }.into());
         }
         let event_stream = self.pending.as_ref().is_some_and(|pending| pending.event_stream);
         let keep_buffering = !event_stream && self.buffer.len() + data.len() <= BUFFER_LIMIT;
@@ -489,7 +489,7 @@
     fn finish(mut self, load: u32) {
         let (id, call) = (self.attempt.id, self.attempt.call);
         let (number, taken) = (self.attempt.call, self.next_part + 1);
-        self.link.send(wire::PartAck { number, taken }.into());
+        self.link.send(wire::ResponseAck { number, taken }.into());
         let content_type =
             self.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-type"));
         let content_type = content_type.map_or(String::new(), |header| header.value.clone());
--- a/crates/runtime/src/entry/mod.rs
+++ b/crates/runtime/src/entry/mod.rs
@@ -19,7 +19,7 @@
 
 use citronrill_config::EntrySettings;
 use citronrill_decide::{Entry, EntryProfile, Event, Policies, RequestId};
-use citronrill_platform::{Instances, Objects, Table};
+use citronrill_platform::{InstanceList, ObjectStore, Table};
 use citronrill_wire::{Identity, PeerRole};
 use crossbeam::channel::{Sender, bounded};
 use tiny_http::Server;
@@ -51,9 +51,9 @@
     /// The platform's table.
     pub table: Arc<dyn Table>,
     /// The platform's object store.
-    pub objects: Arc<dyn Objects>,
+    pub objects: Arc<dyn ObjectStore>,
     /// The platform's list of instances.
-    pub instances: Arc<dyn Instances>,
+    pub instances: Arc<dyn InstanceList>,
     /// The policies of the reducer.
     pub policies: Policies,
 }
@@ -232,7 +232,7 @@
 
 /// Reads the platform's list of instances periodically and passes it to the control thread.
 fn watch_instances(
-    instances: Arc<dyn Instances>,
+    instances: Arc<dyn InstanceList>,
     input: Sender<Input>,
     stop: Arc<AtomicBool>,
 ) -> Result<(), StartError> {
--- a/crates/runtime/src/entry/peers.rs
+++ b/crates/runtime/src/entry/peers.rs
@@ -33,12 +33,12 @@
                 slack_ms: demand.slack_ms,
                 class: class_from_number(demand.class),
             })),
-            Kind::Verdict(verdict) if from_entry && verdict.kind == DEMAND_ACKED => {
-                Input::Event(Event::Heard(verdict.model))
+            Kind::DemandReply(reply) if from_entry && reply.kind == DEMAND_ACKED => {
+                Input::Event(Event::Heard(reply.model))
             }
-            Kind::Verdict(verdict) if from_entry => {
-                let kind = refusal_kind(verdict.kind)?;
-                Input::Event(Event::Verdict { model: verdict.model, kind })
+            Kind::DemandReply(reply) if from_entry => {
+                let kind = refusal_kind(reply.kind)?;
+                Input::Event(Event::Verdict { model: reply.model, kind })
             }
             Kind::FeedPull(pull) if from_entry => {
                 Input::FeedPull(link.clone(), pull.id, pull.since)
@@ -52,9 +52,11 @@
                 let id = rows.id;
                 Input::Event(Event::Fed(id, Some(to_page(rows))))
             }
-            Kind::TextPull(pull) if from_entry => Input::ConfigRequest(link.clone(), pull.version),
-            Kind::TextReply(reply) if from_entry => {
-                Input::Event(Event::Text { version: reply.version, text: reply.text? })
+            Kind::ConfigRequest(pull) if from_entry => {
+                Input::ConfigRequest(link.clone(), pull.version)
+            }
+            Kind::ConfigReply(reply) if from_entry => {
+                Input::Event(Event::Text { version: reply.version, text: reply.config? })
             }
             Kind::Dump(_) => Input::Dump(link.clone()),
             _ => return None,
@@ -82,9 +84,9 @@
         Kind::Accepted(frame) => Some(frame.number),
         Kind::Declined(frame) => Some(frame.number),
         Kind::BodyAck(frame) => Some(frame.number),
-        Kind::Head(frame) => Some(frame.number),
-        Kind::Part(frame) => Some(frame.number),
-        Kind::End(frame) => Some(frame.number),
+        Kind::ResponseHead(frame) => Some(frame.number),
+        Kind::ResponsePart(frame) => Some(frame.number),
+        Kind::ResponseEnd(frame) => Some(frame.number),
         Kind::Cancelled(frame) => Some(frame.number),
         _ => None,
     }
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -267,8 +267,8 @@
                 Ok(kind) => {
                     self.last_received.store(self.elapsed_ms(), Ordering::Release);
                     self.due_since.store(u64::MAX, Ordering::Release);
-                    context.meter.add_bytes(0, reader.bytes() - counted_bytes);
-                    counted_bytes = reader.bytes();
+                    context.meter.add_bytes(0, reader.bytes_read() - counted_bytes);
+                    counted_bytes = reader.bytes_read();
                     self.handle_frame(kind, context, sink);
                 }
                 Err(WireError::Io(error)) if is_timeout(&error) => {
--- a/crates/runtime/src/side/calls.rs
+++ b/crates/runtime/src/side/calls.rs
@@ -188,10 +188,10 @@
         }
     }
 
-    pub(super) fn answer_cancel(&self, id: CallId, answer: u32) {
+    pub(super) fn answer_cancel(&self, id: CallId, outcome: u32) {
         let link = self.cancels.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
         if let Some(link) = link {
-            link.send(wire::Cancelled { number: id.number, answer }.into());
+            link.send(wire::Cancelled { number: id.number, outcome }.into());
         }
     }
 
@@ -214,10 +214,13 @@
         }
     }
 
-    pub(super) fn decline(&self, id: CallId, why: Decline, load: u32) {
+    pub(super) fn decline(&self, id: CallId, reason: Decline, active_calls: u32) {
         if let Some(exchange) = self.by_id().remove(&id) {
-            let why = why.number();
-            exchange.lock().link.send(wire::Declined { number: id.number, why, load }.into());
+            let reason = reason.number();
+            exchange
+                .lock()
+                .link
+                .send(wire::Declined { number: id.number, reason, active_calls }.into());
         }
     }
 
@@ -247,7 +250,7 @@
     }
 
     /// Runs a call in a separate thread.
-    pub(super) fn run(&self, id: CallId, load: u32, ended: impl FnOnce() + Send + 'static) {
+    pub(super) fn run(&self, id: CallId, active_calls: u32, ended: impl FnOnce() + Send + 'static) {
         let Some(exchange) = self.get(id) else { return ended() };
         let content = {
             let mut state = exchange.lock();
@@ -257,14 +260,15 @@
         };
         let Some((call, body_parts)) = content else { return ended() };
         let slack = Duration::from_millis(call.expires.saturating_sub(self.clock.now().0));
-        let runner = CallRunner { exchange: exchange.clone(), target: self.target, slack, load };
+        let runner =
+            CallRunner { exchange: exchange.clone(), target: self.target, slack, active_calls };
         let started = spawn("call", move || {
             runner.run(call, body_parts);
             ended();
         });
         if started.is_err() {
             exchange.lock().running = false;
-            self.decline(id, Decline::Busy, load);
+            self.decline(id, Decline::Busy, active_calls);
         }
     }
 }
@@ -274,7 +278,7 @@
     exchange: Arc<Exchange>,
     target: SocketAddr,
     slack: Duration,
-    load: u32,
+    active_calls: u32,
 }
 
 impl CallRunner {
@@ -288,11 +292,11 @@
                 false
             }
         };
-        let load = self.load;
+        let active_calls = self.active_calls;
         let mut state = self.exchange.lock();
         // The end frame takes its place in the sequence even if the window is full.
         let sequence = state.next_part;
-        let frame: Frame = wire::End { number, sequence, whole: complete, load }.into();
+        let frame: Frame = wire::ResponseEnd { number, sequence, complete, active_calls }.into();
         state.next_part += 1;
         state.parts.push_back(frame.clone());
         state.link.send(frame);
@@ -303,9 +307,9 @@
     /// Declines the call. The endpoint has refused the connection, so it has not received the call.
     fn decline(&self) {
         let mut state = self.exchange.lock();
-        let why = Decline::EndpointDown.number();
-        let (number, load) = (self.exchange.number, self.load);
-        let frame: Frame = wire::Declined { number, why, load }.into();
+        let reason = Decline::EndpointDown.number();
+        let (number, active_calls) = (self.exchange.number, self.active_calls);
+        let frame: Frame = wire::Declined { number, reason, active_calls }.into();
         state.next_part += 1;
         state.parts.push_back(frame.clone());
         state.link.send(frame);
@@ -350,7 +354,7 @@
             .filter_map(|(name, value)| Some(Header::new(name.as_str(), value.to_str().ok()?)));
         let headers = front::to_wire(headers);
         let status = u32::from(status.as_u16());
-        if !self.exchange.push(|_| wire::Head { number, status, headers }.into()) {
+        if !self.exchange.push(|_| wire::ResponseHead { number, status, headers }.into()) {
             return false;
         }
         let (mut buffer, mut total) = (vec![0; PART_BYTES], 0_u64);
@@ -360,7 +364,7 @@
                 Ok(count) => {
                     total += count as u64;
                     let data = Bytes::copy_from_slice(&buffer[..count]);
-                    let part = |sequence| wire::Part { number, sequence, data }.into();
+                    let part = |sequence| wire::ResponsePart { number, sequence, data }.into();
                     if !self.exchange.push(part) || self.exchange.stopped() {
                         return false;
                     }
--- a/crates/runtime/src/side/frames.rs
+++ b/crates/runtime/src/side/frames.rs
@@ -45,14 +45,14 @@
     fn frame(&self, link: &Arc<Link>, kind: Kind) {
         let id = |number| CallId { session: link.peer.session, number };
         match kind {
-            Kind::Poke(poke) if link.peer.role == PeerRole::Entry => {
-                self.event(SideEvent::Poke(poke.from));
+            Kind::RowChanged(change) if link.peer.role == PeerRole::Entry => {
+                self.event(SideEvent::Poke(change.reply_to));
             }
             Kind::Dump(_) => drop(self.input.send(Input::Dump(link.clone()))),
             _ if link.peer.role != PeerRole::Entry => {}
             Kind::Call(call) => self.call(link, call),
             Kind::Body(body) => self.exchanges.push_body(id(body.number), body),
-            Kind::PartAck(ack) => self.exchanges.acknowledge(id(ack.number), ack.taken),
+            Kind::ResponseAck(ack) => self.exchanges.acknowledge(id(ack.number), ack.taken),
             Kind::Cancel(cancel) => {
                 let id = id(cancel.number);
                 self.exchanges.add_cancel(id, link);
--- a/crates/runtime/src/side/mod.rs
+++ b/crates/runtime/src/side/mod.rs
@@ -16,7 +16,7 @@
 
 use citronrill_config::{SideKind, SideSettings};
 use citronrill_decide::{Side, SideEvent, SideProfile};
-use citronrill_platform::{HttpEngine, Instances, Table};
+use citronrill_platform::{HttpEngine, InstanceList, Table};
 use citronrill_wire::{Identity, PeerRole};
 use crossbeam::channel::{Sender, bounded};
 
@@ -48,7 +48,7 @@
     /// The platform's table.
     pub table: Arc<dyn Table>,
     /// The platform's list of instances.
-    pub instances: Arc<dyn Instances>,
+    pub instances: Arc<dyn InstanceList>,
 }
 
 /// An input of the control thread.
@@ -162,7 +162,7 @@
 /// Looks up the own instance in the platform's list periodically, and drains the process when the
 /// instance is leaving.
 fn watch_leaving(
-    instances: Arc<dyn Instances>,
+    instances: Arc<dyn InstanceList>,
     own: &str,
     input: Sender<Input>,
     stop: Arc<AtomicBool>,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -242,7 +242,7 @@
         let request_json: Value = serde_json::from_slice(body).unwrap_or_default();
         let model = request_json["model"].as_str().unwrap_or_default().to_owned();
         if !self.lock().models.get(&model).is_some_and(|it| it.ready) {
-            let _ = respond(request, 404, &[], b"the model is not loaded");
+            let _ = respond(request, 404, &[], b"the engine does not hold the model");
             return;
         }
         let id = self.answers.fetch_add(1, Ordering::AcqRel) + 1;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -10,8 +10,8 @@
 use citronrill_base::{Outcome, Txn};
 use citronrill_http::respond;
 use citronrill_platform::{
-    Instance, MemoryObjects, MemoryTable, Objects, Table, TableChanges, TableCounts, TableOutcome,
-    TableRead, TableRow, TableRows, TableTxn,
+    Instance, MemoryObjectStore, MemoryTable, ObjectStore, Table, TableChanges, TableCounts,
+    TableOutcome, TableRead, TableRow, TableRows, TableTxn,
 };
 use prost::Message;
 use tiny_http::{Method, Request};
@@ -28,7 +28,7 @@
 /// The platform's state, shared between [`PlatformStandin`] and the server threads.
 pub struct PlatformState {
     table: MemoryTable,
-    objects: MemoryObjects,
+    objects: MemoryObjectStore,
     instances: Mutex<BTreeMap<String, Instance>>,
     weights: WeightStore,
     faults: Faults,
@@ -48,7 +48,7 @@
     pub fn start(address: SocketAddr, limits: WeightLimits) -> Result<Self, StandinError> {
         let state = Arc::new(PlatformState {
             table: MemoryTable::default(),
-            objects: MemoryObjects::default(),
+            objects: MemoryObjectStore::default(),
             instances: Mutex::default(),
             weights: WeightStore::new(limits),
             faults: Faults::default(),
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -34,7 +34,7 @@
     Unauthenticated,
     /// A frame that the protocol does not allow at this point.
     #[error("unexpected frame")]
-    OutOfTurn,
+    UnexpectedFrame,
 }
 
 fn codec() -> LengthDelimitedCodec {
@@ -87,7 +87,7 @@
     }
 
     /// Returns the number of bytes read so far.
-    pub fn bytes(&self) -> u64 {
+    pub fn bytes_read(&self) -> u64 {
         self.bytes_read
     }
 
--- a/crates/wire/src/frames.rs
+++ b/crates/wire/src/frames.rs
@@ -106,10 +106,10 @@
     pub number: u64,
     /// The number of the reason.
     #[prost(uint32, tag = "2")]
-    pub why: u32,
+    pub reason: u32,
     /// Number of calls running on the side.
     #[prost(uint32, tag = "3")]
-    pub load: u32,
+    pub active_calls: u32,
 }
 
 /// A part of a request body.
@@ -142,7 +142,7 @@
 
 /// Status and headers of a response; part 0 of its stream.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Head {
+pub struct ResponseHead {
     /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -156,7 +156,7 @@
 
 /// A part of a response body.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Part {
+pub struct ResponsePart {
     /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -170,7 +170,7 @@
 
 /// Acknowledges parts of a response that the entry has received.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct PartAck {
+pub struct ResponseAck {
     /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -181,7 +181,7 @@
 
 /// The final end of a response.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct End {
+pub struct ResponseEnd {
     /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -190,10 +190,10 @@
     pub sequence: u64,
     /// Whether the endpoint's response was complete.
     #[prost(bool, tag = "3")]
-    pub whole: bool,
+    pub complete: bool,
     /// Number of calls running on the side.
     #[prost(uint32, tag = "4")]
-    pub load: u32,
+    pub active_calls: u32,
 }
 
 /// Cancels a call, even if the call has not arrived yet.
@@ -218,7 +218,7 @@
     pub number: u64,
     /// 0 the call did not run and will not, 1 it had started, 2 unknown.
     #[prost(uint32, tag = "2")]
-    pub answer: u32,
+    pub outcome: u32,
 }
 
 /// Asks on a new connection for the status of a call and for the rest of its response.
@@ -260,7 +260,7 @@
 
 /// The coordinator's reply to a [`Demand`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Verdict {
+pub struct DemandReply {
     /// The model's name.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -272,10 +272,10 @@
 
 /// Notifies a side that its row has changed.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Poke {
+pub struct RowChanged {
     /// The address of the entry, to which the side sends its new row.
     #[prost(string, tag = "1")]
-    pub from: String,
+    pub reply_to: String,
 }
 
 /// Requests rows of the change feed.
@@ -322,7 +322,7 @@
 
 /// Requests the whole configuration.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct TextPull {
+pub struct ConfigRequest {
     /// The requested version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
@@ -330,13 +330,13 @@
 
 /// The whole configuration, if the sender has the requested version.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct TextReply {
+pub struct ConfigReply {
     /// The requested version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
     /// The configuration; absent if the sender has a different version.
     #[prost(string, optional, tag = "2")]
-    pub text: Option<String>,
+    pub config: Option<String>,
 }
 
 /// Requests a dump of the process state.
@@ -399,20 +399,20 @@
     Declined = "7",
     Body = "8",
     BodyAck = "9",
-    Head = "10",
-    Part = "11",
-    PartAck = "12",
-    End = "13",
+    ResponseHead = "10",
+    ResponsePart = "11",
+    ResponseAck = "12",
+    ResponseEnd = "13",
     Cancel = "14",
     Cancelled = "15",
     Resume = "16",
     Demand = "17",
-    Verdict = "18",
-    Poke = "19",
+    DemandReply = "18",
+    RowChanged = "19",
     FeedPull = "20",
     FeedRows = "21",
-    TextPull = "22",
-    TextReply = "23",
+    ConfigRequest = "22",
+    ConfigReply = "23",
     Dump = "24",
     DumpReply = "25",
 }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -102,10 +102,14 @@
         writer: &mut impl Write,
     ) -> Result<Peer, WireError> {
         send(writer, self.local.clone().into())?;
-        let Kind::Hello(remote) = reader.next_frame()? else { return Err(WireError::OutOfTurn) };
+        let Kind::Hello(remote) = reader.next_frame()? else {
+            return Err(WireError::UnexpectedFrame);
+        };
         let mac = self.mac(&remote, self.initiator).finalize().into_bytes().to_vec();
         send(writer, Proof { mac }.into())?;
-        let Kind::Proof(proof) = reader.next_frame()? else { return Err(WireError::OutOfTurn) };
+        let Kind::Proof(proof) = reader.next_frame()? else {
+            return Err(WireError::UnexpectedFrame);
+        };
         let expected = self.mac(&remote, !self.initiator);
         if proof.mac.len() != MAC_SIZE || expected.verify_slice(&proof.mac).is_err() {
             return Err(WireError::Unauthenticated);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -12,13 +12,15 @@
 pub use crate::{
     codec::{FRAME_LIMIT, FrameReader, WireError, encode},
     frames::{
-        Accepted, Body, BodyAck, Call, Cancel, Cancelled, Declined, Demand, Dump, DumpReply, End,
-        FeedPull, FeedRow, FeedRows, Frame, Head, Header, Hello, Part, PartAck, Ping, Poke, Pong,
-        Proof, Resume, TextPull, TextReply, Verdict, frame::Kind,
+        Accepted, Body, BodyAck, Call, Cancel, Cancelled, ConfigReply, ConfigRequest, Declined,
+        Demand, DemandReply, Dump, DumpReply, FeedPull, FeedRow, FeedRows, Frame, Header, Hello,
+        Ping, Pong, Proof, ResponseAck, ResponseEnd, ResponseHead, ResponsePart, Resume,
+        RowChanged, frame::Kind,
     },
     handshake::{Handshake, Identity, Peer, PeerRole},
     pool::{
-        Alive, MemberRow, ModelName, ModelRate, ModelState, PoolFrame, PoolKind, Probe, SideState,
-        Snapshot, TextAsk, TextCopy, TextPart, TextVersion, Usage, Want,
+        ConfigChunk, ConfigChunkRequest, ConfigVersion, EncodedConfig, LoadRequest, MemberRow,
+        ModelName, ModelRate, ModelState, PoolFrame, PoolKind, Probe, ProbeReply, SideState,
+        Snapshot, UsageReport,
     },
 };
--- a/crates/wire/src/pool.rs
+++ b/crates/wire/src/pool.rs
@@ -15,34 +15,34 @@
 pub enum PoolKind {
     /// An entry asks a side to load a model or adapter.
     #[prost(message, tag = "2")]
-    Want(Want),
+    LoadRequest(LoadRequest),
     /// An entry reports a request that it sent to the endpoint, or for which no replica had room.
     #[prost(message, tag = "3")]
-    Used(Usage),
+    Usage(UsageReport),
     /// A side reports the state of its endpoint.
     #[prost(message, tag = "4")]
     State(SideState),
     /// An entry reports the configuration version that it has.
     #[prost(message, tag = "6")]
-    Version(TextVersion),
+    ConfigVersion(ConfigVersion),
     /// A side declines a load request.
     #[prost(message, tag = "5")]
-    Declined(ModelName),
+    LoadDeclined(ModelName),
     /// An entry sends its known state to another entry.
     #[prost(message, tag = "7")]
     Snapshot(Snapshot),
     /// Requests a chunk of the operators' configuration, in either direction.
     #[prost(message, tag = "8")]
-    TextAsk(TextAsk),
+    ConfigChunkRequest(ConfigChunkRequest),
     /// Answers the request with a chunk.
     #[prost(message, tag = "9")]
-    TextPart(TextPart),
+    ConfigChunk(ConfigChunk),
     /// An entry's liveness probe of a side.
     #[prost(message, tag = "10")]
     Probe(Probe),
     /// A side's reply to the probe.
     #[prost(message, tag = "11")]
-    Alive(Alive),
+    ProbeReply(ProbeReply),
 }
 
 /// A liveness probe.
@@ -51,17 +51,17 @@
 
 /// The reply to a liveness probe: shows that the process and its instance are running.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Alive {}
+pub struct ProbeReply {}
 
 /// An entry's known state of the configuration and of the member list.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Snapshot {
     /// The configuration version; 0 for none. The receiver requests its contents on the same connection.
     #[prost(uint64, tag = "4")]
-    pub text: u64,
+    pub config_version: u64,
     /// The version of the member list.
     #[prost(uint64, tag = "2")]
-    pub list: u64,
+    pub list_version: u64,
     /// The members.
     #[prost(message, repeated, tag = "3")]
     pub members: Vec<MemberRow>,
@@ -80,7 +80,7 @@
 
 /// The operators' configuration as encoded in the platform store; it is transferred in chunks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TextCopy {
+pub struct EncodedConfig {
     /// The configuration version.
     pub version: u64,
     /// The configuration, encoded as in the platform store.
@@ -89,7 +89,7 @@
 
 /// Requests a chunk of a configuration.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct TextAsk {
+pub struct ConfigChunkRequest {
     /// The requested version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
@@ -100,7 +100,7 @@
 
 /// A chunk of a configuration.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct TextPart {
+pub struct ConfigChunk {
     /// The configuration version. If the sender has a different version from the requested one, the chunk
     /// is the beginning of the sender's version.
     #[prost(uint64, tag = "1")]
@@ -118,7 +118,7 @@
 
 /// The configuration version that the sender has.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct TextVersion {
+pub struct ConfigVersion {
     /// The configuration version; 0 for none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
@@ -126,7 +126,7 @@
 
 /// Asks a side to load a model, or an adapter of one.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Want {
+pub struct LoadRequest {
     /// The addressed instance; other incarnations of the endpoint ignore the request.
     #[prost(string, tag = "1")]
     pub instance: String,
@@ -138,10 +138,10 @@
     pub adapter: String,
     /// Models that may be evicted, the least needed first.
     #[prost(string, repeated, tag = "4")]
-    pub victims: Vec<String>,
+    pub eviction_candidates: Vec<String>,
     /// Number of engines that share the weight store.
     #[prost(uint32, tag = "5")]
-    pub fleet: u32,
+    pub engine_count: u32,
     /// Milliseconds until the request expires.
     #[prost(uint64, tag = "6")]
     pub ttl_ms: u64,
@@ -169,7 +169,7 @@
 
 /// Reports a request for a model, or for an adapter of one.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Usage {
+pub struct UsageReport {
     /// The model's name.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -213,7 +213,7 @@
     pub loading: Vec<String>,
     /// Models that are being evicted, or will be for a load under `loading`.
     #[prost(string, repeated, tag = "6")]
-    pub leaving: Vec<String>,
+    pub evicting: Vec<String>,
     /// Running requests.
     #[prost(uint32, tag = "7")]
     pub active: u32,
@@ -222,32 +222,32 @@
     pub queued: u32,
     /// Share of the KV cache in use, in thousandths.
     #[prost(uint32, tag = "9")]
-    pub kv_share: u32,
+    pub kv_used_milli: u32,
     /// Number of entries connected to this side.
     #[prost(uint32, tag = "10")]
     pub entries: u32,
     /// Whether the endpoint answered its side's recent status requests.
     #[prost(bool, tag = "11")]
-    pub sound: bool,
+    pub healthy: bool,
     /// Estimated milliseconds until all loads under `loading` have completed.
     #[prost(uint64, tag = "12")]
-    pub busy_ms: u64,
+    pub load_eta_ms: u64,
     /// Number of loads under `loading` that are from the weight store.
     #[prost(uint32, tag = "13")]
     pub store_loads: u32,
     /// Duration of the last load from the weight store, in thousandths of its usual time; 0 if
     /// there was none.
     #[prost(uint32, tag = "14")]
-    pub store_slow: u32,
+    pub store_slowdown: u32,
     /// The configuration version that the side has; 0 for none.
     #[prost(uint64, tag = "16")]
-    pub text: u64,
+    pub config_version: u64,
     /// The name of the endpoint's current incarnation, or empty if the side does not know it.
     #[prost(string, tag = "15")]
     pub instance: String,
     /// Estimated milliseconds until the current order has completed; 0 if there is none.
     #[prost(uint64, tag = "18")]
-    pub order_ms: u64,
+    pub order_eta_ms: u64,
     /// The service that the endpoint belongs to.
     #[prost(string, tag = "17")]
     pub service: String,
@@ -281,5 +281,5 @@
     pub rate_milli: u32,
     /// Whether it must not be evicted now: it was just loaded for a request, or is about to be used.
     #[prost(bool, tag = "4")]
-    pub fixed: bool,
+    pub pinned: bool,
 }
--- a/src/commands/dev.rs
+++ b/src/commands/dev.rs
@@ -142,7 +142,7 @@
     http: Option<SocketAddr>,
 ) -> Result<Running, CommandError> {
     let pool = &catalogue.pool;
-    let limits = WeightLimits { once: pool.loads_once, second: pool.loads_second };
+    let limits = WeightLimits { once: pool.concurrent_loads, second: pool.loads_per_second };
     let platform = PlatformStandin::start(any_port(), limits)?;
     let address = platform.address();
     let clients = Platform::new(&platform_settings(address));
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,7 +1,7 @@
 //! `citronrill status`: shows the configuration version of every process.
 
 use argh::FromArgs;
-use citronrill_platform::Instances;
+use citronrill_platform::InstanceList;
 use citronrill_runtime::{dump_json, head};
 use serde_json::{Value, json};
 
--- a/src/files.rs
+++ b/src/files.rs
@@ -4,23 +4,23 @@
 
 use citronrill_config::{ClientSettings, PlatformSettings};
 use citronrill_insight::Log;
-use citronrill_platform::{HttpInstances, HttpObjects, HttpTable};
+use citronrill_platform::{HttpInstanceList, HttpObjectStore, HttpTable};
 
 use crate::exit::CommandError;
 
 /// HTTP clients of the platform.
 pub(crate) struct Platform {
     pub(crate) table: Arc<HttpTable>,
-    pub(crate) objects: Arc<HttpObjects>,
-    pub(crate) instances: Arc<HttpInstances>,
+    pub(crate) objects: Arc<HttpObjectStore>,
+    pub(crate) instances: Arc<HttpInstanceList>,
 }
 
 impl Platform {
     pub(crate) fn new(settings: &PlatformSettings) -> Platform {
         Platform {
             table: Arc::new(HttpTable::new(settings.table)),
-            objects: Arc::new(HttpObjects::new(settings.objects)),
-            instances: Arc::new(HttpInstances::new(settings.instances)),
+            objects: Arc::new(HttpObjectStore::new(settings.objects)),
+            instances: Arc::new(HttpInstanceList::new(settings.instances)),
         }
     }
 }
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -13,7 +13,7 @@
     Policies,
     rows::{ClaimRow, ClaimState, decode},
 };
-use citronrill_platform::{HttpInstances, HttpObjects, HttpTable, Instance, Role};
+use citronrill_platform::{HttpInstanceList, HttpObjectStore, HttpTable, Instance, Role};
 use citronrill_runtime::{
     EntryOptions, EntryProcess, SideOptions, SideProcess, apply_text, dump_json,
 };
@@ -229,16 +229,16 @@
 /// Clients of the platform's services.
 pub(crate) struct Clients {
     pub(crate) table: Arc<HttpTable>,
-    pub(crate) objects: Arc<HttpObjects>,
-    pub(crate) instances: Arc<HttpInstances>,
+    pub(crate) objects: Arc<HttpObjectStore>,
+    pub(crate) instances: Arc<HttpInstanceList>,
 }
 
 impl Clients {
     pub(crate) fn new(address: SocketAddr) -> Clients {
         Clients {
             table: Arc::new(HttpTable::new(address)),
-            objects: Arc::new(HttpObjects::new(address)),
-            instances: Arc::new(HttpInstances::new(address)),
+            objects: Arc::new(HttpObjectStore::new(address)),
+            instances: Arc::new(HttpInstanceList::new(address)),
         }
     }
 }
