--- a/crates/gateway/src/board.rs
+++ b/crates/gateway/src/board.rs
@@ -8,7 +8,7 @@
     sync::{Arc, Mutex, PoisonError},
 };
 
-use citronrill_pool::{CopyEvent, EntryEvent, Member, MemberChange};
+use citronrill_pool::{ConfigFetchEvent, EntryEvent, Member, MemberChange};
 use citronrill_wire::{ConfigChunk, ConfigChunkRequest, EncodedConfig, MemberRow, Snapshot};
 use tokio::sync::watch;
 
@@ -92,8 +92,8 @@
         if newer {
             let (version, size) = (loaded.encoded.version, loaded.encoded.bytes.len());
             log::info!("event=text_read source={source} version={version} bytes={size}");
-            self.transfer.send_event(CopyEvent::Own(version));
-            self.events.send(EntryEvent::Text(loaded.config));
+            self.transfer.send_event(ConfigFetchEvent::OwnVersion(version));
+            self.events.send(EntryEvent::Config(loaded.config));
         }
     }
 
@@ -118,7 +118,7 @@
 
     /// Reports whether the store has confirmed that the configuration is current.
     pub(crate) fn set_config_current(&self, current: bool) {
-        self.events.send(EntryEvent::TextCurrent(current));
+        self.events.send(EntryEvent::ConfigCurrent(current));
     }
 
     /// Notifies pending calls that the store answers again for a table after an outage.
@@ -139,7 +139,7 @@
 
     /// Reports that the configuration is arriving from the store, so no peer needs to be asked for it.
     pub(crate) fn report_store_progress(&self) {
-        self.transfer.send_event(CopyEvent::Progress);
+        self.transfer.send_event(ConfigFetchEvent::StoreProgress);
     }
 
     /// Subscribes to changes of the configuration.
@@ -147,16 +147,16 @@
         self.config.subscribe()
     }
 
-    /// Applies rows of the member list; with `whole`, members without a row are removed.
-    fn apply_members(&self, version: u64, whole: bool, rows: Vec<StoreRow>) {
+    /// Applies rows of the member list; with `complete`, members without a row are removed.
+    fn apply_members(&self, version: u64, complete: bool, rows: Vec<StoreRow>) {
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
-        if whole {
+        if complete {
             members.rows.clear();
         }
         members.version = members.version.max(version);
         let rows = rows.into_iter().map(|row| self.apply_row(&mut members, row)).collect();
         drop(members);
-        self.events.send(EntryEvent::Members(MemberChange { whole, version, rows }));
+        self.events.send(EntryEvent::Members(MemberChange { complete, version, rows }));
     }
 
     /// Applies one row of the member list.
--- a/crates/gateway/src/copies.rs
+++ b/crates/gateway/src/copies.rs
@@ -7,7 +7,9 @@
 };
 
 use citronrill_base::Millis;
-use citronrill_pool::{CopyEffect, CopyEvent, CopyFetch, CopyPatience, CopyServer, is_last};
+use citronrill_pool::{
+    ConfigFetch, ConfigFetchEffect, ConfigFetchEvent, ConfigServer, ConfigSources, is_last_chunk,
+};
 use citronrill_wire::{ConfigChunk, ConfigChunkRequest, EncodedConfig};
 use tokio::{
     sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel},
@@ -21,8 +23,8 @@
 
 /// Sends events to the task that fetches the configuration, and serves chunks of it to peers.
 pub(crate) struct ConfigTransfer<P> {
-    events: UnboundedSender<CopyEvent<P>>,
-    server: Arc<Mutex<CopyServer<P>>>,
+    events: UnboundedSender<ConfigFetchEvent<P>>,
+    server: Arc<Mutex<ConfigServer<P>>>,
     start: Instant,
 }
 
@@ -38,13 +40,13 @@
 
 impl<P: Peer> ConfigTransfer<P> {
     /// Creates a transfer and the receiver for [`run_config_fetch`].
-    pub(crate) fn new() -> (ConfigTransfer<P>, UnboundedReceiver<CopyEvent<P>>) {
+    pub(crate) fn new() -> (ConfigTransfer<P>, UnboundedReceiver<ConfigFetchEvent<P>>) {
         let (events, inputs) = unbounded_channel();
         (ConfigTransfer { events, server: Arc::default(), start: Instant::now() }, inputs)
     }
 
     /// Sends an event to the fetching task.
-    pub(crate) fn send_event(&self, event: CopyEvent<P>) {
+    pub(crate) fn send_event(&self, event: ConfigFetchEvent<P>) {
         if self.events.send(event).is_err() {
             log::debug!("event=copies_gone");
         }
@@ -52,8 +54,8 @@
 
     /// Handles the end of a connection to a peer.
     pub(crate) fn disconnect(&self, peer: P) {
-        self.with_server(|server, _| server.gone(peer));
-        self.send_event(CopyEvent::Gone(peer));
+        self.with_server(|server, _| server.disconnect(peer));
+        self.send_event(ConfigFetchEvent::Disconnected(peer));
     }
 
     /// Answers a peer's request for a chunk of this process's configuration.
@@ -64,13 +66,13 @@
         config: Option<&EncodedConfig>,
     ) -> ConfigChunk {
         let chunk = self.with_server(|server, now| server.answer(now, peer, request, config));
-        if !chunk.bytes.is_empty() && is_last(&chunk) {
+        if !chunk.bytes.is_empty() && is_last_chunk(&chunk) {
             log::info!("event=text_sent to={peer} version={} bytes={}", chunk.version, chunk.total);
         }
         chunk
     }
 
-    fn with_server<T>(&self, serve: impl FnOnce(&mut CopyServer<P>, Millis) -> T) -> T {
+    fn with_server<T>(&self, serve: impl FnOnce(&mut ConfigServer<P>, Millis) -> T) -> T {
         let now = Millis(self.start.elapsed().as_millis() as u64);
         serve(&mut self.server.lock().unwrap_or_else(PoisonError::into_inner), now)
     }
@@ -80,33 +82,33 @@
 ///
 /// `request_chunk` sends a request to a peer; `apply` is called with each complete configuration.
 pub(crate) async fn run_config_fetch<P: Peer>(
-    sources: CopyPatience,
+    sources: ConfigSources,
     seed: u64,
-    mut inputs: UnboundedReceiver<CopyEvent<P>>,
+    mut inputs: UnboundedReceiver<ConfigFetchEvent<P>>,
     request_chunk: impl Fn(P, ConfigChunkRequest),
     apply: impl Fn(EncodedConfig),
 ) {
-    let mut fetch = CopyFetch::new(sources, seed);
+    let mut fetch = ConfigFetch::new(sources, seed);
     let start = tokio::time::Instant::now();
     let now = || Millis(start.elapsed().as_millis() as u64);
     loop {
-        let next_tick = fetch.wake().map(|at| start + Duration::from_millis(at.0));
+        let next_tick = fetch.next_tick().map(|at| start + Duration::from_millis(at.0));
         let event = tokio::select! {
             event = inputs.recv() => match event {
                 Some(event) => event,
                 None => return,
             },
-            () = wait_until(next_tick) => CopyEvent::Tick,
+            () = wait_until(next_tick) => ConfigFetchEvent::Tick,
         };
         for effect in fetch.step(now(), event) {
             match effect {
-                CopyEffect::Ask(peer, request) => request_chunk(peer, request),
-                CopyEffect::Whole(peer, config) => {
+                ConfigFetchEffect::RequestChunk(peer, request) => request_chunk(peer, request),
+                ConfigFetchEffect::Complete(peer, config) => {
                     let (version, bytes) = (config.version, config.bytes.len());
                     log::info!("event=text_copied from={peer} version={version} bytes={bytes}");
                     apply(config);
                 }
-                CopyEffect::Silent(peer, request) => {
+                ConfigFetchEffect::TimedOut(peer, request) => {
                     let ConfigChunkRequest { version, offset } = request;
                     log::info!("event=copy_silent from={peer} version={version} offset={offset}");
                 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,7 +1,7 @@
 //! The interface to a platform's HTTP calls, headers and encodings.
 
 use citronrill_pool::{
-    AnswerHead, EngineReport, Member, Order, OrderOutcome, Sending, ServingText, TokenCount,
+    Dispatch, EngineReport, Member, Order, OrderOutcome, ResponseHead, ServingConfig, TokenCount,
 };
 use hyper::{HeaderMap, StatusCode};
 use thiserror::Error;
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// The bytes are not a valid configuration.
-    fn text(&self, bytes: &[u8]) -> Result<ServingText, DialectError>;
+    fn text(&self, bytes: &[u8]) -> Result<ServingConfig, DialectError>;
 
     /// Decodes the member list row of an endpoint.
     ///
@@ -118,7 +118,7 @@
     fn request(&self, headers: &HeaderMap) -> RequestMeta;
 
     /// Rewrites a caller's headers for the endpoint that the request is sent to.
-    fn forward(&self, headers: &mut HeaderMap, dispatch: &Sending);
+    fn forward(&self, headers: &mut HeaderMap, dispatch: &Dispatch);
 
     /// Decodes the head of an endpoint's response to the request with ID `caller`, which was sent to
     /// `instance`.
@@ -128,7 +128,7 @@
         headers: &HeaderMap,
         caller: &str,
         instance: &str,
-    ) -> AnswerHead;
+    ) -> ResponseHead;
 
     /// Encodes an order sent by `holder`, the name of the side that gives it.
     fn order(&self, order: &Order, holder: &str) -> OrderCall;
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -14,8 +14,8 @@
 use citronrill_base::{Millis, hash_bytes};
 use citronrill_config::PoolSettings;
 use citronrill_pool::{
-    Arrival, CallerLimits, CopyEvent, CopyPatience, Due, EntryEffect, EntryEvent, EntryProfile,
-    Pace, PoolEntry, Refusal, RequestId, Sending, ServingText,
+    Arrival, CallerLimits, CheckTimer, ConfigFetchEvent, ConfigSources, Dispatch, DueCheck,
+    EntryEffect, EntryEvent, EntryProfile, PoolEntry, Refusal, RequestId, ServingConfig,
 };
 use citronrill_wire::{EncodedConfig, PoolKind, Probe};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, unbounded};
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub(crate) enum Command {
     /// Dispatch the request to an endpoint.
-    Dispatch(Sending),
+    Dispatch(Dispatch),
     /// Forward the endpoint's response to the caller.
     Forward,
     /// Respond with a refusal.
@@ -170,7 +170,7 @@
         start: Instant::now(),
         inputs,
         requests: BTreeMap::new(),
-        timer: Pace::default(),
+        timer: CheckTimer::default(),
         side_commands: side_sender,
         limits: limits_sender,
         status: status.clone(),
@@ -212,7 +212,7 @@
 /// Fetches the configuration from sides while the platform store is unavailable.
 fn fetch_config(
     name: &str,
-    events: mpsc::UnboundedReceiver<CopyEvent<SocketAddr>>,
+    events: mpsc::UnboundedReceiver<ConfigFetchEvent<SocketAddr>>,
     sides: mpsc::WeakUnboundedSender<SideCommand>,
     view: PlatformView,
 ) -> impl Future<Output = ()> + use<> {
@@ -225,7 +225,7 @@
     };
     let apply = move |encoded: EncodedConfig| view.offer_config(&encoded.bytes, "side");
     run_config_fetch(
-        CopyPatience::OwnRead,
+        ConfigSources::StoreFirst,
         hash_bytes(name.as_bytes()),
         events,
         request_chunk,
@@ -267,7 +267,7 @@
     start: Instant,
     inputs: Receiver<Input>,
     requests: BTreeMap<RequestId, RequestHandle>,
-    timer: Pace,
+    timer: CheckTimer,
     side_commands: mpsc::UnboundedSender<SideCommand>,
     limits: watch::Sender<CallerLimits>,
     status: Arc<EntryStatus>,
@@ -280,7 +280,7 @@
         loop {
             let busy = !self.requests.is_empty();
             let interval_ms = if busy { BUSY_TICK_MS } else { IDLE_TICK_MS };
-            let remaining_ms = self.timer.left_ms(interval_ms, self.now());
+            let remaining_ms = self.timer.remaining_ms(interval_ms, self.now());
             match self.inputs.recv_timeout(Duration::from_millis(remaining_ms)) {
                 Ok(input) => {
                     self.timer.note_event();
@@ -289,10 +289,10 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            match self.timer.take(interval_ms, self.now()) {
-                Due::Nothing => {}
-                Due::Look => self.tick(EntryEvent::Look),
-                Due::Whole => self.tick(EntryEvent::Tick),
+            match self.timer.take_due(interval_ms, self.now()) {
+                DueCheck::Nothing => {}
+                DueCheck::Urgent => self.tick(EntryEvent::UrgentTick),
+                DueCheck::Full => self.tick(EntryEvent::Tick),
             }
         }
     }
@@ -316,17 +316,17 @@
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Event(event) => {
-                if let EntryEvent::Text(config) = &event {
+                if let EntryEvent::Config(config) = &event {
                     self.limits.send_replace(config.limits);
                 }
-                if let EntryEvent::Leave(id) | EntryEvent::Finish(id, _) = &event {
+                if let EntryEvent::CallerLeft(id) | EntryEvent::ResponseEnded(id, _) = &event {
                     self.requests.remove(id);
                 }
                 self.step(event);
             }
             Input::Request(arrival, request) => {
                 self.requests.insert(arrival.id, request);
-                self.step(EntryEvent::Arrive(arrival));
+                self.step(EntryEvent::RequestArrived(arrival));
             }
         }
     }
@@ -335,36 +335,36 @@
         let effects = self.reducer.step(self.now(), event);
         // Before the effects: once the log shows that a configuration was read, the process is ready.
         self.status.ready.store(self.reducer.ready(), Ordering::Relaxed);
-        self.status.in_flight.store(self.reducer.in_hand() as u64, Ordering::Relaxed);
+        self.status.in_flight.store(self.reducer.in_flight() as u64, Ordering::Relaxed);
         effects.into_iter().for_each(|effect| self.execute(effect));
     }
 
     fn execute(&mut self, effect: EntryEffect) {
         match effect {
-            EntryEffect::Send(id, dispatch) => {
+            EntryEffect::Dispatch(id, dispatch) => {
                 self.send_command(id, Command::Dispatch(dispatch), false)
             }
-            EntryEffect::Pass(id) => self.send_command(id, Command::Forward, false),
+            EntryEffect::Forward(id) => self.send_command(id, Command::Forward, false),
             EntryEffect::Refuse(id, refusal) => {
                 self.metrics.count_refusal(refusal.reason);
                 self.send_command(id, Command::Refuse(refusal), true);
             }
-            EntryEffect::Cut(id) => self.send_command(id, Command::Abort, true),
-            EntryEffect::Abandon(id) => self.send_command(id, Command::Disconnect, false),
+            EntryEffect::Abort(id) => self.send_command(id, Command::Abort, true),
+            EntryEffect::Disconnect(id) => self.send_command(id, Command::Disconnect, false),
             EntryEffect::Probe(address) => {
                 self.send_to_sides(SideCommand::Send(address, Box::new(PoolKind::Probe(Probe {}))));
             }
-            EntryEffect::Want(address, load_request) => {
+            EntryEffect::LoadRequest(address, load_request) => {
                 self.metrics.load_requests.increment();
                 self.send_to_sides(SideCommand::Send(
                     address,
                     Box::new(PoolKind::LoadRequest(load_request)),
                 ));
             }
-            EntryEffect::Used(address, usage) => {
+            EntryEffect::ReportUsage(address, usage) => {
                 self.send_to_sides(SideCommand::Send(address, Box::new(PoolKind::Usage(usage))));
             }
-            EntryEffect::Sides(addresses) => {
+            EntryEffect::ConnectSides(addresses) => {
                 self.send_to_sides(SideCommand::ConnectOnly(addresses))
             }
             EntryEffect::Log(event) => {
@@ -381,7 +381,7 @@
         if last {
             self.requests.remove(&id);
         }
-        // A task that has ended sends `EntryEvent::Leave`, which cleans up the request.
+        // A task that has ended sends `EntryEvent::CallerLeft`, which cleans up the request.
         if gone {
             log::debug!("event=request_gone request={}", id.0);
         }
@@ -398,7 +398,7 @@
 #[derive(Clone)]
 pub(crate) struct LoadedConfig {
     pub(crate) encoded: EncodedConfig,
-    pub(crate) config: Arc<ServingText>,
+    pub(crate) config: Arc<ServingConfig>,
 }
 
 /// Returns the address of the side on the instance of `endpoint`.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use citronrill_pool::{EntryEvent, FailureKind, Refusal, RequestId, Sending};
+use citronrill_pool::{Dispatch, EntryEvent, FailureKind, Refusal, RequestId};
 use http_body_util::Full;
 use hyper::{
     HeaderMap, Request, Response,
@@ -118,7 +118,7 @@
     /// it decides.
     fn report_result(
         &self,
-        dispatch: &Sending,
+        dispatch: &Dispatch,
         result: Result<(Response<Incoming>, ConnectionGuard), (FailureKind, GatewayError)>,
     ) -> HeldResponse {
         match result {
@@ -126,12 +126,12 @@
                 let (status, headers) = (response.status(), response.headers());
                 let caller_id = &self.outgoing.caller_id;
                 let head = self.dialect.answer(status, headers, caller_id, &dispatch.instance);
-                self.events.send(EntryEvent::Answer(self.id, dispatch.number, head));
+                self.events.send(EntryEvent::ResponseHead(self.id, dispatch.number, head));
                 Some((response, guard))
             }
             Err((kind, error)) => {
                 log::info!("event=send_failed id={} error=\"{error}\"", self.outgoing.caller_id);
-                self.events.send(EntryEvent::Fail(self.id, dispatch.number, kind));
+                self.events.send(EntryEvent::DispatchFailed(self.id, dispatch.number, kind));
                 None
             }
         }
@@ -140,13 +140,13 @@
 
 async fn send_request(
     outgoing: &OutgoingRequest,
-    dispatch: &Sending,
+    dispatch: &Dispatch,
     dialect: &dyn Dialect,
     metrics: &EntryMetrics,
 ) -> Result<(Response<Incoming>, ConnectionGuard), (FailureKind, GatewayError)> {
     let started = Instant::now();
     let opened = HttpConnection::open(dispatch.address).await;
-    let mut connection = opened.map_err(|error| (FailureKind::Unreached, error))?;
+    let mut connection = opened.map_err(|error| (FailureKind::Unreachable, error))?;
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -221,7 +221,7 @@
 impl Drop for LeaveNotifier {
     fn drop(&mut self) {
         if self.armed {
-            self.events.send(EntryEvent::Leave(self.id));
+            self.events.send(EntryEvent::CallerLeft(self.id));
         }
     }
 }
@@ -257,12 +257,12 @@
         let id = RequestId(next_id());
         let arrival = Arrival {
             id,
-            caller: meta.caller.clone(),
+            caller_id: meta.caller.clone(),
             host: host.split(':').next().unwrap_or("").to_owned(),
             path: parts.uri.path().to_owned(),
             deadline_ms: meta.deadline_ms,
             model: meta.model,
-            prefix: meta.prefix,
+            prefix_hash: meta.prefix,
             tokens: meta.tokens,
         };
         let outgoing = OutgoingRequest {
@@ -336,7 +336,7 @@
     let status = StatusCode::from_u16(refusal.reason.status());
     problem_response(
         status.unwrap_or(StatusCode::BAD_GATEWAY),
-        refusal.reason.word(),
+        refusal.reason.as_str(),
         refusal.retry_ms,
     )
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -113,7 +113,7 @@
     /// Counts a refusal.
     pub(crate) fn count_refusal(&self, reason: Reason) {
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
-        *refusals.entry(reason.word()).or_default() += 1;
+        *refusals.entry(reason.as_str()).or_default() += 1;
     }
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -77,7 +77,7 @@
 
     fn end(&mut self, complete: bool) {
         self.source = Source::Ended;
-        self.events.send(EntryEvent::Finish(self.id, complete));
+        self.events.send(EntryEvent::ResponseEnded(self.id, complete));
     }
 
     /// Handles a frame of the endpoint's body; returns `None` if nothing of it is forwarded.
@@ -127,7 +127,7 @@
         if let Source::Endpoint(_, exchange, _) = std::mem::replace(&mut self.source, Source::Ended)
         {
             self.source = Source::Failover(Box::pin(exchange.next_outcome()));
-            self.events.send(EntryEvent::Broke(self.id, last_event));
+            self.events.send(EntryEvent::StreamBroken(self.id, last_event));
         }
     }
 }
@@ -199,8 +199,10 @@
     fn drop(&mut self) {
         let event = match &self.source {
             Source::Ended => return,
-            Source::Endpoint(body, ..) if body.is_end_stream() => EntryEvent::Finish(self.id, true),
-            Source::Endpoint(..) | Source::Failover(_) => EntryEvent::Leave(self.id),
+            Source::Endpoint(body, ..) if body.is_end_stream() => {
+                EntryEvent::ResponseEnded(self.id, true)
+            }
+            Source::Endpoint(..) | Source::Failover(_) => EntryEvent::CallerLeft(self.id),
         };
         self.events.send(event);
     }
--- a/crates/gateway/src/seeds.rs
+++ b/crates/gateway/src/seeds.rs
@@ -9,7 +9,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use citronrill_pool::is_last;
+use citronrill_pool::is_last_chunk;
 use citronrill_wire::{ConfigChunkRequest, PoolKind, WireError};
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -126,7 +126,7 @@
             return Err(WireError::UnexpectedFrame);
         }
         bytes.extend_from_slice(&chunk.bytes);
-        if is_last(&chunk) {
+        if is_last_chunk(&chunk) {
             return Ok(bytes);
         }
     }
--- a/crates/gateway/src/side/engine.rs
+++ b/crates/gateway/src/side/engine.rs
@@ -58,7 +58,7 @@
                     // show its effect.
                     tokio::spawn(async move {
                         let (outcome, instance) = this.send_order(&order).await;
-                        this.send_event(SideEvent::Ordered(order.number, outcome, instance));
+                        this.send_event(SideEvent::OrderAnswered(order.number, outcome, instance));
                     });
                 }
             }
@@ -97,7 +97,7 @@
         };
         match response.await {
             Ok(response) => match self.dialect.named(response.headers()) {
-                Some(name) => self.send_event(SideEvent::Named(name)),
+                Some(name) => self.send_event(SideEvent::NameReported(name)),
                 None => log::info!("event=endpoint_unnamed status={}", response.status()),
             },
             Err(error) => log::info!("event=endpoint_unnamed error=\"{error}\""),
--- a/crates/gateway/src/side/entries.rs
+++ b/crates/gateway/src/side/entries.rs
@@ -9,7 +9,7 @@
     },
 };
 
-use citronrill_pool::{CopyEvent, CopyPatience, EntryLink, SideEvent};
+use citronrill_pool::{ConfigFetchEvent, ConfigSources, EntryLink, SideEvent};
 use citronrill_wire::{EncodedConfig, PoolKind, ProbeReply, SideState, WireError};
 use crossbeam::channel::Sender;
 use tokio::{
@@ -97,7 +97,7 @@
 }
 
 fn report_entry_count(context: &ConnectionContext, entries: usize) {
-    if context.events.send(SideEvent::Entries(entries as u32)).is_err() {
+    if context.events.send(SideEvent::EntryCount(entries as u32)).is_err() {
         log::debug!("event=control_gone");
     }
 }
@@ -132,14 +132,14 @@
     context: &ConnectionContext,
 ) -> Result<(), WireError> {
     let event = match message {
-        PoolKind::LoadRequest(load_request) => SideEvent::Want(link, load_request),
-        PoolKind::Usage(usage) => SideEvent::Used(usage),
+        PoolKind::LoadRequest(load_request) => SideEvent::LoadRequest(link, load_request),
+        PoolKind::Usage(usage) => SideEvent::Usage(usage),
         PoolKind::ConfigVersion(config) => {
-            context.transfer.send_event(CopyEvent::Offered(link, config.version));
+            context.transfer.send_event(ConfigFetchEvent::Offered(link, config.version));
             return Ok(());
         }
         PoolKind::ConfigChunk(chunk) => {
-            context.transfer.send_event(CopyEvent::Part(link, chunk));
+            context.transfer.send_event(ConfigFetchEvent::Chunk(link, chunk));
             return Ok(());
         }
         PoolKind::Probe(_) => {
@@ -165,7 +165,7 @@
 /// Fetches the configuration from entries.
 pub(super) async fn fetch_config(
     seed: u64,
-    events: mpsc::UnboundedReceiver<CopyEvent<EntryLink>>,
+    events: mpsc::UnboundedReceiver<ConfigFetchEvent<EntryLink>>,
     context: Arc<ConnectionContext>,
 ) {
     let request_chunk =
@@ -174,7 +174,7 @@
         context.metrics.configs.increment();
         apply_config(encoded, &context);
     };
-    run_config_fetch(CopyPatience::PeersOnly, seed, events, request_chunk, apply).await;
+    run_config_fetch(ConfigSources::PeersOnly, seed, events, request_chunk, apply).await;
 }
 
 /// Decodes a configuration and keeps it if it is newer than the current one.
@@ -187,9 +187,9 @@
     }
     match context.dialect.text(&encoded.bytes) {
         Ok(config) => {
-            context.transfer.send_event(CopyEvent::Own(encoded.version));
+            context.transfer.send_event(ConfigFetchEvent::OwnVersion(encoded.version));
             context.config.send_replace(Some(encoded));
-            if context.events.send(SideEvent::Text(Arc::new(config))).is_err() {
+            if context.events.send(SideEvent::Config(Arc::new(config))).is_err() {
                 log::debug!("event=control_gone");
             }
         }
--- a/crates/gateway/src/side/mod.rs
+++ b/crates/gateway/src/side/mod.rs
@@ -136,13 +136,13 @@
 impl ControlThread {
     fn run(mut self) {
         loop {
-            let wait = Duration::from_millis(self.reducer.wake_ms());
+            let wait = Duration::from_millis(self.reducer.tick_interval_ms());
             let event = match self.inputs.recv_timeout(wait) {
                 Ok(event) => event,
                 Err(RecvTimeoutError::Timeout) => SideEvent::Tick,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            if let SideEvent::Want(..) = event {
+            if let SideEvent::LoadRequest(..) = event {
                 self.metrics.load_requests.increment();
             }
             let now = Millis(self.start.elapsed().as_millis() as u64);
@@ -157,7 +157,7 @@
                 self.metrics.polls.increment();
                 EndpointCall::Poll
             }
-            SideEffect::Identify(path) => EndpointCall::QueryName(path),
+            SideEffect::QueryName(path) => EndpointCall::QueryName(path),
             SideEffect::Order(order) => {
                 self.metrics.orders.increment();
                 EndpointCall::Order(order)
--- a/crates/gateway/src/sides.rs
+++ b/crates/gateway/src/sides.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use citronrill_pool::{CopyEvent, EntryEvent, SideLoss};
+use citronrill_pool::{ConfigFetchEvent, EntryEvent, SideLoss};
 use citronrill_wire::{ConfigVersion, PoolKind, WireError};
 use thiserror::Error;
 use tokio::{
@@ -225,17 +225,19 @@
         let endpoint = self.endpoint;
         match kind {
             PoolKind::State(state) => {
-                self.transfer.send_event(CopyEvent::Offered(endpoint, state.config_version));
-                self.events.send(EntryEvent::Side(endpoint, state));
+                self.transfer.send_event(ConfigFetchEvent::Offered(endpoint, state.config_version));
+                self.events.send(EntryEvent::SideReport(endpoint, state));
             }
             PoolKind::ConfigChunk(chunk) => {
-                self.transfer.send_event(CopyEvent::Part(endpoint, chunk))
+                self.transfer.send_event(ConfigFetchEvent::Chunk(endpoint, chunk))
             }
             PoolKind::ConfigChunkRequest(request) => {
                 return Ok(Some(PoolKind::ConfigChunk(self.view.config_chunk(endpoint, &request))));
             }
-            PoolKind::LoadDeclined(name) => self.events.send(EntryEvent::Declined(endpoint, name)),
-            PoolKind::ProbeReply(_) => self.events.send(EntryEvent::Alive(endpoint)),
+            PoolKind::LoadDeclined(name) => {
+                self.events.send(EntryEvent::LoadDeclined(endpoint, name))
+            }
+            PoolKind::ProbeReply(_) => self.events.send(EntryEvent::ProbeReply(endpoint)),
             PoolKind::LoadRequest(_)
             | PoolKind::Probe(_)
             | PoolKind::Usage(_)
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use citronrill_base::hash_bytes;
 use citronrill_config::PoolSettings;
-use citronrill_pool::{Follow, FollowProfile, StoreAsk};
+use citronrill_pool::{FollowerProfile, StoreQuery, TableFollower};
 use hyper::StatusCode;
 use tokio::time::sleep;
 
@@ -32,13 +32,13 @@
 }
 
 /// Returns the settings for following `table`.
-fn follower_profile(settings: &PoolSettings, table: Table) -> FollowProfile {
-    let pace_ms = match table {
+fn follower_profile(settings: &PoolSettings, table: Table) -> FollowerProfile {
+    let poll_pause_ms = match table {
         Table::Text => 0,
         Table::Members => MEMBERS_PAUSE_MS,
     };
     let seed = hash_bytes(format!("{} {table:?}", settings.name).as_bytes());
-    FollowProfile { seed, recover_ms: settings.recover_ms, pace_ms }
+    FollowerProfile { seed, recover_ms: settings.recover_ms, poll_pause_ms }
 }
 
 /// Follows one table until the process ends and passes its rows to `view`.
@@ -50,7 +50,7 @@
 ) -> impl Future<Output = ()> + use<> {
     let store = settings.store;
     let (client, follower) =
-        (ControlClient::new(store), Follow::new(follower_profile(settings, table)));
+        (ControlClient::new(store), TableFollower::new(follower_profile(settings, table)));
     let watcher = TableWatcher { store, table, dialect, view, client, follower };
     watcher.run()
 }
@@ -85,7 +85,7 @@
     dialect: Arc<dyn Dialect>,
     view: PlatformView,
     client: ControlClient,
-    follower: Follow,
+    follower: TableFollower,
 }
 
 impl TableWatcher {
@@ -136,10 +136,10 @@
     /// Makes the next call; returns the milliseconds to wait before the one after it.
     async fn poll(&mut self) -> Result<u64, GatewayError> {
         let call = self.follower.call();
-        match call.ask {
-            StoreAsk::Whole => self.read_table(call.limit_ms).await,
-            StoreAsk::Changes { after, hold_ms } => {
-                self.read_changes(after, hold_ms, call.limit_ms).await
+        match call.query {
+            StoreQuery::Table => self.read_table(call.timeout_ms).await,
+            StoreQuery::Changes { after, hold_ms } => {
+                self.read_changes(after, hold_ms, call.timeout_ms).await
             }
         }
     }
--- a/crates/pool/src/budget.rs
+++ b/crates/pool/src/budget.rs
@@ -37,13 +37,13 @@
     }
 
     /// Counts a first attempt.
-    pub fn first(&mut self, now: Millis) {
+    pub fn record_first(&mut self, now: Millis) {
         self.expire(now);
         self.first_attempts.push_back(now);
     }
 
     /// Takes one retry from the budget, if it allows one.
-    pub fn take(&mut self, now: Millis) -> bool {
+    pub fn try_take(&mut self, now: Millis) -> bool {
         self.expire(now);
         let allowed = self.ratio * self.first_attempts.len() as f64 + self.slack;
         let granted = (self.retries.len() as f64) + 1.0 <= allowed;
--- a/crates/pool/src/text.rs
+++ b/crates/pool/src/config.rs
@@ -6,7 +6,7 @@
 /// One version of the configuration: which routes lead to which services, and what the services can
 /// hold.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct ServingText {
+pub struct ServingConfig {
     /// The version; it only increases.
     pub version: u64,
     /// All routes.
@@ -17,7 +17,7 @@
     pub limits: CallerLimits,
 }
 
-impl ServingText {
+impl ServingConfig {
     /// Returns the route for `host` and `path`: the one with the longest prefix wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let fits = |route: &&Route| route.host == host && path.starts_with(&route.prefix);
@@ -57,7 +57,7 @@
 
 /// What may be retried when an attempt fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// The request may run any number of times.
     Idempotent,
     /// The request may run at most once.
@@ -68,15 +68,15 @@
     ResumableStream,
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Returns whether a second attempt may follow one that may have begun.
-    pub fn may_rerun(self) -> bool {
-        matches!(self, Repeat::Idempotent | Repeat::ResumableStream)
+    pub fn may_retry(self) -> bool {
+        matches!(self, RetryPolicy::Idempotent | RetryPolicy::ResumableStream)
     }
 
     /// Returns whether the answer is an event stream.
     pub fn is_stream(self) -> bool {
-        matches!(self, Repeat::Stream | Repeat::ResumableStream)
+        matches!(self, RetryPolicy::Stream | RetryPolicy::ResumableStream)
     }
 }
 
@@ -90,7 +90,7 @@
     /// The path prefix.
     pub prefix: String,
     /// What may be retried.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Milliseconds after which a request is terminated.
     pub timeout_ms: u64,
     /// The latency objective, in milliseconds.
@@ -102,7 +102,7 @@
     /// Services and their weights.
     pub shares: Vec<(String, u32)>,
     /// Maximum number of endpoints that may run one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// One service.
@@ -111,9 +111,9 @@
     /// The service's name.
     pub name: String,
     /// The path of the health check, on which an endpoint also reports its name; may be empty.
-    pub health: String,
+    pub health_path: String,
     /// Connections that one endpoint accepts from all callers.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Set if the endpoints are model engines.
     pub engine: Option<EngineSpec>,
 }
@@ -146,7 +146,7 @@
 
 /// Duration of a load from the weight store, in thousandths of its usual duration, from which it
 /// counts as late because too many loads were concurrent.
-pub(crate) const LATE_LOAD: u32 = 1_200;
+pub(crate) const LATE_LOAD_MILLI: u32 = 1_200;
 
 /// One model.
 #[derive(Debug, Clone, PartialEq, Default)]
--- a/crates/pool/src/copies.rs
+++ b/crates/pool/src/config_transfer.rs
@@ -36,42 +36,42 @@
 /// the store answers within a few milliseconds, and then sends as fast as the entry's link allows.
 const STORE_READ_MS: u64 = 400;
 
-/// How long to wait for the configuration from other sources before a peer is asked.
+/// Where a process gets its configuration, and so how long it waits before it asks a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CopyPatience {
-    /// An entry reads the store itself. Transfers are for entries that cannot reach it, and most
-    /// have the configuration by the end of this time.
-    OwnRead,
+pub enum ConfigSources {
+    /// An entry reads the store itself, and waits for it first. Transfers are for entries that
+    /// cannot reach it, and most have the configuration by the end of this time.
+    StoreFirst,
     /// A side gets its configuration only from entries, and asks immediately.
     PeersOnly,
 }
 
-/// Events that a [`CopyFetch`] handles. `P` identifies a peer.
+/// Events that a [`ConfigFetch`] handles. `P` identifies a peer.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CopyEvent<P> {
+pub enum ConfigFetchEvent<P> {
     /// This process has a configuration of this version.
-    Own(u64),
+    OwnVersion(u64),
     /// Bytes of the configuration arrive from the store.
-    Progress,
+    StoreProgress,
     /// A peer announces that it has this version.
     Offered(P, u64),
     /// The connection to a peer has ended.
-    Gone(P),
+    Disconnected(P),
     /// A peer's answer to a chunk request.
-    Part(P, ConfigChunk),
+    Chunk(P, ConfigChunk),
     /// Time has passed.
     Tick,
 }
 
-/// Effects that a [`CopyFetch`] asks for.
+/// Effects that a [`ConfigFetch`] asks for.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CopyEffect<P> {
+pub enum ConfigFetchEffect<P> {
     /// Request a chunk from a peer.
-    Ask(P, ConfigChunkRequest),
+    RequestChunk(P, ConfigChunkRequest),
     /// A configuration is complete; with the peer that sent its last chunk.
-    Whole(P, EncodedConfig),
+    Complete(P, EncodedConfig),
     /// A peer sent no chunk in time; another one is asked.
-    Silent(P, ConfigChunkRequest),
+    TimedOut(P, ConfigChunkRequest),
 }
 
 /// A partially received configuration.
@@ -83,8 +83,8 @@
 
 /// Fetches the newest configuration that peers have.
 #[derive(Debug)]
-pub struct CopyFetch<P> {
-    patience: CopyPatience,
+pub struct ConfigFetch<P> {
+    sources: ConfigSources,
     /// Distinguishes processes, so that they ask different peers first.
     seed: u64,
     own_version: u64,
@@ -107,11 +107,11 @@
     at: Millis,
 }
 
-impl<P: Copy + Ord + ToString> CopyFetch<P> {
+impl<P: Copy + Ord + ToString> ConfigFetch<P> {
     /// Creates a fetch without any known version or peer.
-    pub fn new(patience: CopyPatience, seed: u64) -> CopyFetch<P> {
-        CopyFetch {
-            patience,
+    pub fn new(sources: ConfigSources, seed: u64) -> ConfigFetch<P> {
+        ConfigFetch {
+            sources,
             seed,
             own_version: 0,
             offers: BTreeMap::new(),
@@ -124,25 +124,27 @@
     }
 
     /// Handles an event and returns the resulting effects.
-    pub fn step(&mut self, now: Millis, event: CopyEvent<P>) -> Vec<CopyEffect<P>> {
+    pub fn step(&mut self, now: Millis, event: ConfigFetchEvent<P>) -> Vec<ConfigFetchEffect<P>> {
         let mut effects = Vec::new();
         match event {
-            CopyEvent::Own(version) => self.set_own_version(version),
-            CopyEvent::Progress => self.lacking_since = self.lacking_since.map(|_| now),
-            CopyEvent::Offered(peer, version) => {
+            ConfigFetchEvent::OwnVersion(version) => self.set_own_version(version),
+            ConfigFetchEvent::StoreProgress => self.lacking_since = self.lacking_since.map(|_| now),
+            ConfigFetchEvent::Offered(peer, version) => {
                 self.offers.insert(peer, version);
             }
-            CopyEvent::Gone(peer) => self.remove_peer(peer),
-            CopyEvent::Part(peer, chunk) => self.handle_chunk(now, peer, chunk, &mut effects),
-            CopyEvent::Tick => {}
+            ConfigFetchEvent::Disconnected(peer) => self.remove_peer(peer),
+            ConfigFetchEvent::Chunk(peer, chunk) => {
+                self.handle_chunk(now, peer, chunk, &mut effects)
+            }
+            ConfigFetchEvent::Tick => {}
         }
         self.check_timeout(now, &mut effects);
         self.ask_next_peer(now, &mut effects);
         effects
     }
 
-    /// Returns when [`CopyEvent::Tick`] is due if no other event occurs.
-    pub fn wake(&self) -> Option<Millis> {
+    /// Returns when [`ConfigFetchEvent::Tick`] is due if no other event occurs.
+    pub fn next_tick(&self) -> Option<Millis> {
         if let Some(outstanding) = &self.outstanding {
             return Some(outstanding.at + CHUNK_TIMEOUT_MS);
         }
@@ -159,9 +161,9 @@
     }
 
     fn store_wait_ms(&self) -> u64 {
-        match self.patience {
-            CopyPatience::OwnRead => STORE_READ_MS,
-            CopyPatience::PeersOnly => 0,
+        match self.sources {
+            ConfigSources::StoreFirst => STORE_READ_MS,
+            ConfigSources::PeersOnly => 0,
         }
     }
 
@@ -186,7 +188,7 @@
         now: Millis,
         peer: P,
         chunk: ConfigChunk,
-        effects: &mut Vec<CopyEffect<P>>,
+        effects: &mut Vec<ConfigFetchEffect<P>>,
     ) {
         // A late answer: another peer has been asked in the meantime.
         if self.outstanding.is_none_or(|outstanding| outstanding.peer != peer) {
@@ -217,13 +219,13 @@
         self.avoided.insert(peer, now + FAULTY_PEER_MS);
         self.paused_until = now + DECODE_MS;
         let config = EncodedConfig { version: partial.version, bytes: partial.bytes };
-        effects.push(CopyEffect::Whole(peer, config));
+        effects.push(ConfigFetchEffect::Complete(peer, config));
     }
 
     /// Guards against a peer that is frozen or disconnected, which its connection does not report
     /// for seconds. The chunks received so far are kept, and the rest is requested from another
     /// peer.
-    fn check_timeout(&mut self, now: Millis, effects: &mut Vec<CopyEffect<P>>) {
+    fn check_timeout(&mut self, now: Millis, effects: &mut Vec<ConfigFetchEffect<P>>) {
         let Some(outstanding) =
             self.outstanding.filter(|outstanding| now.since(outstanding.at) >= CHUNK_TIMEOUT_MS)
         else {
@@ -232,7 +234,7 @@
         self.outstanding = None;
         self.avoided.insert(outstanding.peer, now + FAULTY_PEER_MS);
         let offset = self.offset_of(outstanding.version);
-        effects.push(CopyEffect::Silent(
+        effects.push(ConfigFetchEffect::TimedOut(
             outstanding.peer,
             ConfigChunkRequest { version: outstanding.version, offset },
         ));
@@ -244,7 +246,7 @@
         partial.map_or(0, |partial| partial.bytes.len() as u64)
     }
 
-    fn ask_next_peer(&mut self, now: Millis, effects: &mut Vec<CopyEffect<P>>) {
+    fn ask_next_peer(&mut self, now: Millis, effects: &mut Vec<ConfigFetchEffect<P>>) {
         self.avoided.retain(|_, until| *until > now);
         if self.newer().next().is_none() {
             self.lacking_since = None;
@@ -276,11 +278,11 @@
         now: Millis,
         peer: P,
         version: u64,
-        effects: &mut Vec<CopyEffect<P>>,
+        effects: &mut Vec<ConfigFetchEffect<P>>,
     ) {
         let offset = self.offset_of(version);
         self.outstanding = Some(ChunkRequest { peer, version, at: now });
-        effects.push(CopyEffect::Ask(peer, ConfigChunkRequest { version, offset }));
+        effects.push(ConfigFetchEffect::RequestChunk(peer, ConfigChunkRequest { version, offset }));
     }
 }
 
@@ -290,18 +292,18 @@
 /// slow link each would wait for the others' chunks, while callers of that process wait behind
 /// them.
 #[derive(Debug)]
-pub struct CopyServer<P> {
+pub struct ConfigServer<P> {
     /// The peers being served, and when each last asked.
     served: BTreeMap<P, Millis>,
 }
 
-impl<P: Copy + Ord> Default for CopyServer<P> {
-    fn default() -> CopyServer<P> {
-        CopyServer { served: BTreeMap::new() }
+impl<P: Copy + Ord> Default for ConfigServer<P> {
+    fn default() -> ConfigServer<P> {
+        ConfigServer { served: BTreeMap::new() }
     }
 }
 
-impl<P: Copy + Ord> CopyServer<P> {
+impl<P: Copy + Ord> ConfigServer<P> {
     /// Returns the answer to a chunk request. It has no bytes if other peers are being served, or
     /// if there is no configuration.
     ///
@@ -317,7 +319,7 @@
         let free = self.served.contains_key(&peer) || self.served.len() < MAX_SERVED;
         let Some(config) = config.filter(|_| free) else { return ConfigChunk::default() };
         let chunk = chunk_at(config, request);
-        if is_last(&chunk) {
+        if is_last_chunk(&chunk) {
             self.served.remove(&peer);
         } else {
             self.served.insert(peer, now);
@@ -326,7 +328,7 @@
     }
 
     /// Records that the connection to a peer has ended.
-    pub fn gone(&mut self, peer: P) {
+    pub fn disconnect(&mut self, peer: P) {
         self.served.remove(&peer);
     }
 }
@@ -345,6 +347,6 @@
 }
 
 /// Returns whether `chunk` is the last chunk.
-pub fn is_last(chunk: &ConfigChunk) -> bool {
+pub fn is_last_chunk(chunk: &ConfigChunk) -> bool {
     chunk.offset + chunk.bytes.len() as u64 >= chunk.total
 }
--- a/crates/pool/src/tally.rs
+++ b/crates/pool/src/decaying_count.rs
@@ -4,12 +4,12 @@
 
 /// An exponentially decaying count.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Tally {
+pub(crate) struct DecayingCount {
     weight: f64,
     at: Millis,
 }
 
-impl Tally {
+impl DecayingCount {
     /// Returns the count at `now`, where each event decays to 1/e in `decay_ms`.
     pub(crate) fn decayed(&self, decay_ms: f64, now: Millis) -> f64 {
         self.weight * (-(now.since(self.at) as f64) / decay_ms).exp()
@@ -17,6 +17,6 @@
 
     /// Counts one event.
     pub(crate) fn add(&mut self, decay_ms: f64, now: Millis) {
-        *self = Tally { weight: self.decayed(decay_ms, now) + 1.0, at: now };
+        *self = DecayingCount { weight: self.decayed(decay_ms, now) + 1.0, at: now };
     }
 }
--- a/crates/pool/src/endpoint.rs
+++ b/crates/pool/src/endpoint.rs
@@ -4,9 +4,9 @@
 use citronrill_wire::SideState;
 
 use crate::{
+    incarnation::{KnownIncarnation, StartTime},
     liveness::Liveness,
     member::{Member, full_name},
-    start::{KnownIncarnation, StartTime},
 };
 
 /// Milliseconds after which a side's last report no longer counts as fresh: four of its periods of
@@ -17,7 +17,7 @@
 const AVOID_MS: u64 = 1_000;
 /// Milliseconds without a report from a side after which its endpoint ranks below all others: two
 /// periods of 500 ms plus a margin.
-pub(crate) const DARK_MS: u64 = 1_100;
+pub(crate) const SIDE_SILENT_MS: u64 = 1_100;
 /// Milliseconds after an endpoint is first listed within which its side reports, if it is up: a
 /// lost connection and a reconnect take 250.
 const FIRST_REPORT_MS: u64 = 1_200;
@@ -81,7 +81,7 @@
     }
 
     /// Returns whether the instance has cached weights of a model, in memory or on disk.
-    pub(crate) fn has_copy(&self, model: ModelKey) -> bool {
+    pub(crate) fn has_cached_weights(&self, model: ModelKey) -> bool {
         self.in_memory.contains(&model) || self.on_disk.contains(&model)
     }
 }
@@ -89,10 +89,10 @@
 /// The last report of an endpoint's side.
 #[derive(Debug, Clone)]
 pub(crate) struct SideView {
-    pub(crate) at: Millis,
+    pub(crate) received_at: Millis,
     pub(crate) loading: Vec<ModelKey>,
     pub(crate) evicting: Vec<ModelKey>,
-    pub(crate) entries: u32,
+    pub(crate) entry_count: u32,
     pub(crate) healthy: bool,
     pub(crate) load_eta_ms: u64,
     /// Milliseconds from the report until the current order is complete.
@@ -115,8 +115,8 @@
 
 impl SideView {
     /// Returns the milliseconds until all planned loads are complete.
-    pub(crate) fn left_ms(&self, now: Millis) -> u64 {
-        self.load_eta_ms.saturating_sub(now.since(self.at))
+    pub(crate) fn remaining_ms(&self, now: Millis) -> u64 {
+        self.load_eta_ms.saturating_sub(now.since(self.received_at))
     }
 }
 
@@ -124,12 +124,12 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Endpoint {
     pub(crate) member: Member,
-    pub(crate) holding: ModelInventory,
+    pub(crate) inventory: ModelInventory,
     pub(crate) side: Option<SideView>,
     /// Whether its instance responds.
-    pub(crate) life: Liveness,
+    pub(crate) liveness: Liveness,
     /// Requests of this entry that run there.
-    pub(crate) own: u32,
+    pub(crate) own_requests: u32,
     /// Requests in flight there from all entries as last reported, plus later dispatches of this
     /// entry.
     pub(crate) load: u32,
@@ -138,9 +138,9 @@
     pub(crate) avoid_until: Millis,
     /// Until when its side gets no further load requests, because it has just declined one.
     pub(crate) declined_until: Millis,
-    pub(crate) failing: f64,
+    pub(crate) failure_rate: f64,
     /// Milliseconds for which the oldest unanswered attempt there has been waiting.
-    pub(crate) stall: u64,
+    pub(crate) unanswered_ms: u64,
     /// Average recent time to first byte in milliseconds, and when it was last updated.
     ttfb: f64,
     ttfb_at: Millis,
@@ -161,16 +161,16 @@
     pub(crate) fn new(member: Member, now: Millis) -> Endpoint {
         Endpoint {
             member,
-            holding: ModelInventory::default(),
+            inventory: ModelInventory::default(),
             side: None,
-            life: Liveness::default(),
-            own: 0,
+            liveness: Liveness::default(),
+            own_requests: 0,
             load: 0,
             unreported: 0,
             avoid_until: Millis(0),
             declined_until: Millis(0),
-            failing: 0.0,
-            stall: 0,
+            failure_rate: 0.0,
+            unanswered_ms: 0,
             ttfb: 0.0,
             ttfb_at: Millis(0),
             incarnation: KnownIncarnation::default(),
@@ -188,9 +188,10 @@
 
     /// Discards the state of the previous incarnation; requests that run there still count.
     pub(crate) fn reset_for_restart(&mut self, now: Millis) {
-        let (own, incarnation, life) = (self.own, self.incarnation, self.life);
+        let (own_requests, incarnation, liveness) =
+            (self.own_requests, self.incarnation, self.liveness);
         let renewed = Endpoint::new(self.member.clone(), now);
-        *self = Endpoint { own, incarnation, life, first_listed: None, ..renewed };
+        *self = Endpoint { own_requests, incarnation, liveness, first_listed: None, ..renewed };
     }
 
     /// Returns the start time of the incarnation that this state belongs to, if known.
@@ -199,39 +200,41 @@
     }
 
     /// Returns whether new requests may be dispatched there.
-    pub(crate) fn open(&self) -> bool {
+    pub(crate) fn accepts_requests(&self) -> bool {
         !self.member.leaving
     }
 
     /// Returns the number of requests that run or wait there, as far as known.
     pub(crate) fn load(&self) -> u32 {
-        self.load.max(self.own)
+        self.load.max(self.own_requests)
     }
 
     /// Stores the number of running and queued requests that the endpoint or its side reported.
-    pub(crate) fn take_load(&mut self, load: u32) {
+    pub(crate) fn set_load(&mut self, load: u32) {
         self.load = load;
         self.unreported = 0;
     }
 
     /// Returns the load as a fraction of the slots.
-    pub(crate) fn fill(&self) -> f64 {
+    pub(crate) fn load_ratio(&self) -> f64 {
         f64::from(self.load()) / f64::from(self.member.slots.max(1))
     }
 
     /// Returns whether its side has not reported for more than two periods, or cannot reach the
     /// endpoint: the instance may be frozen or gone.
-    pub(crate) fn dark(&self, now: Millis) -> bool {
-        self.side.as_ref().is_none_or(|side| !side.healthy || now.since(side.at) > DARK_MS)
+    pub(crate) fn side_silent(&self, now: Millis) -> bool {
+        self.side
+            .as_ref()
+            .is_none_or(|side| !side.healthy || now.since(side.received_at) > SIDE_SILENT_MS)
     }
 
     /// Returns whether its side reports and its instance responds.
-    pub(crate) fn moves(&self, now: Millis) -> bool {
-        !self.dark(now) && !self.life.silent(now)
+    pub(crate) fn is_responsive(&self, now: Millis) -> bool {
+        !self.side_silent(now) && !self.liveness.is_stalled(now)
     }
 
     /// Returns whether the first report of its side is expected shortly.
-    pub(crate) fn unheard_yet(&self, now: Millis) -> bool {
+    pub(crate) fn awaiting_first_report(&self, now: Millis) -> bool {
         self.side.is_none() && now.since(self.known_since) < FIRST_REPORT_MS
     }
 
@@ -244,12 +247,12 @@
 
     /// Returns the last report of its side, if it is fresh.
     pub(crate) fn fresh_side(&self, now: Millis) -> Option<&SideView> {
-        self.side.as_ref().filter(|side| now.since(side.at) < FRESH_MS)
+        self.side.as_ref().filter(|side| now.since(side.received_at) < FRESH_MS)
     }
 
     /// Updates the average time to first byte with one answer.
-    pub(crate) fn note_lag(&mut self, ms: u64, now: Millis) {
-        self.ttfb = self.lag(now) + TTFB_WEIGHT * (ms as f64 - self.lag(now));
+    pub(crate) fn record_ttfb(&mut self, ms: u64, now: Millis) {
+        self.ttfb = self.ttfb_ms(now) + TTFB_WEIGHT * (ms as f64 - self.ttfb_ms(now));
         self.ttfb_at = now;
     }
 
@@ -257,14 +260,14 @@
     ///
     /// Slots in use say little about an engine that takes 64 requests and processes prompts for a
     /// third of them: its batch is far from full while first tokens already wait for a second.
-    pub(crate) fn lag(&self, now: Millis) -> f64 {
+    pub(crate) fn ttfb_ms(&self, now: Millis) -> f64 {
         let average = self.ttfb * (-(now.since(self.ttfb_at) as f64) / TTFB_DECAY_MS).exp();
-        average.max(self.stall as f64)
+        average.max(self.unanswered_ms as f64)
     }
 
     /// Updates the failure average with the result of a request.
-    pub(crate) fn note(&mut self, failed: bool) {
-        self.failing += FAILURE_WEIGHT * (f64::from(u8::from(failed)) - self.failing);
+    pub(crate) fn record_result(&mut self, failed: bool) {
+        self.failure_rate += FAILURE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
     }
 
     /// Avoids the endpoint for a while, because it could not be reached.
@@ -273,7 +276,7 @@
     }
 
     /// Sends its side no load requests for a while, because it has no room.
-    pub(crate) fn decline(&mut self, now: Millis) {
+    pub(crate) fn mark_declined(&mut self, now: Millis) {
         self.declined_until = now + DECLINED_MS;
     }
 
--- a/crates/pool/src/entry/admit.rs
+++ b/crates/pool/src/entry/admit.rs
@@ -4,18 +4,18 @@
 
 use super::{
     Arrival, EntryEffect, PoolEntry, Reason, Refusal, Request, Stage,
-    exchange::NO_CONFIG_RETRY_MS,
+    dispatch::NO_CONFIG_RETRY_MS,
     rules::{idle_timeout_ms, pick_service},
 };
 
 impl PoolEntry {
     /// Admits and dispatches a request, or refuses it.
-    pub(super) fn arrive(&mut self, arrival: Arrival) {
+    pub(super) fn request_arrived(&mut self, arrival: Arrival) {
         let id = arrival.id;
         match self.admit(&arrival) {
             Ok(request) => {
                 let (now, service) = (self.now, request.service.clone());
-                self.budget(&service).first(now);
+                self.budget(&service).record_first(now);
                 self.requests.insert(id, request);
                 self.schedule(id);
             }
@@ -23,11 +23,11 @@
                 let reason = self.adjust_for_stale(reason);
                 self.log(
                     LogEvent::new("refused")
-                        .with("id", arrival.caller)
-                        .with("reason", reason.word())
+                        .with("id", arrival.caller_id)
+                        .with("reason", reason.as_str())
                         .with("text", self.config_version()),
                 );
-                let waits = matches!(reason, Reason::NoText | Reason::OldText);
+                let waits = matches!(reason, Reason::NoConfig | Reason::StaleConfig);
                 let retry_ms = waits.then_some(NO_CONFIG_RETRY_MS);
                 self.effects.push(EntryEffect::Refuse(id, Refusal { reason, retry_ms }));
             }
@@ -38,16 +38,16 @@
     /// date: the route or model may have been added.
     fn adjust_for_stale(&self, reason: Reason) -> Reason {
         match reason {
-            Reason::NoRoute | Reason::NoModel if !self.config_current => Reason::OldText,
+            Reason::NoRoute | Reason::NoModel if !self.config_current => Reason::StaleConfig,
             reason => reason,
         }
     }
 
     /// Returns the state of an admitted request, or the reason for its refusal.
     fn admit(&mut self, arrival: &Arrival) -> Result<Request, Reason> {
-        let config = self.config.clone().ok_or(Reason::NoText)?;
+        let config = self.config.clone().ok_or(Reason::NoConfig)?;
         let route = config.route(&arrival.host, &arrival.path).ok_or(Reason::NoRoute)?;
-        let service = pick_service(route, &arrival.caller).ok_or(Reason::NoRoute)?;
+        let service = pick_service(route, &arrival.caller_id).ok_or(Reason::NoRoute)?;
         let (model, adapter) = arrival.model.split_once('/').unwrap_or((&arrival.model, ""));
         let engine = config.service(service).and_then(|service| service.engine.as_ref());
         let (mut required, mut base) = (None, None);
@@ -62,17 +62,17 @@
         let allowed = arrival.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
         let idle_timeout = idle_timeout_ms(route).unwrap_or(allowed);
         Ok(Request {
-            caller_id: arrival.caller.clone(),
+            caller_id: arrival.caller_id.clone(),
             service: service.to_owned(),
-            repeat: route.repeat,
+            retry_policy: route.retry_policy,
             priority: route.rank,
-            max_attempts: route.attempts.max(1),
+            max_attempts: route.max_attempts.max(1),
             target_ms: route.target_ms,
             model: model.to_owned(),
             adapter: adapter.to_owned(),
             required,
             base,
-            prefix_hash: arrival.prefix,
+            prefix_hash: arrival.prefix_hash,
             arrived: self.now,
             deadline: self.now + allowed,
             idle_deadline: self.now + allowed.min(idle_timeout),
--- a/crates/pool/src/entry/choose.rs
+++ b/crates/pool/src/entry/choose.rs
@@ -68,10 +68,12 @@
         };
         match best {
             Some((_, endpoint)) if self.prefers_reload(endpoint, request) => Choice::Load,
-            Some((_, endpoint)) if endpoint.fill() < full && self.throttled(endpoint, request) => {
+            Some((_, endpoint))
+                if endpoint.load_ratio() < full && self.throttled(endpoint, request) =>
+            {
                 Choice::Throttle
             }
-            Some((_, endpoint)) if endpoint.fill() < full => {
+            Some((_, endpoint)) if endpoint.load_ratio() < full => {
                 Choice::Dispatch(endpoint.member.instance.clone())
             }
             Some(_) => Choice::Full,
@@ -88,10 +90,10 @@
     /// holder of the model could load the adapter in 25 ms.
     fn prefers_reload(&self, endpoint: &Endpoint, request: &Request) -> bool {
         let Some(base) = request.base.filter(|_| !request.adapter.is_empty()) else { return false };
-        endpoint.dark(self.now)
+        endpoint.side_silent(self.now)
             && self.live_holders(base).any(|other| {
                 other.member.service == request.service
-                    && !other.dark(self.now)
+                    && !other.side_silent(self.now)
                     && !other.avoided(self.now)
                     && !request.tried.contains(&other.member.instance)
             })
@@ -99,7 +101,7 @@
 
     pub(super) fn eligible(&self, endpoint: &Endpoint, request: &Request) -> bool {
         let instance = &endpoint.member.instance;
-        endpoint.open()
+        endpoint.accepts_requests()
             && endpoint.member.service == request.service
             && request.required.is_none_or(|required| self.can_run(endpoint, required))
             && !request.tried.contains(instance)
@@ -121,7 +123,7 @@
     /// Returns whether an engine can run requests for a model or adapter: it is loaded there, and
     /// the instance is not stalled.
     fn can_run(&self, endpoint: &Endpoint, required: ModelKey) -> bool {
-        self.holds_confirmed(endpoint, required) && !endpoint.life.silent(self.now)
+        self.holds_confirmed(endpoint, required) && !endpoint.liveness.is_stalled(self.now)
     }
 
     /// Returns whether an engine has a model or adapter loaded, according to a reliable report.
@@ -130,7 +132,7 @@
     /// before. Requests dispatched on the member list alone were refused, and used up the retry
     /// budget of later requests.
     fn holds_confirmed(&self, endpoint: &Endpoint, required: ModelKey) -> bool {
-        endpoint.holding.keys.contains(&required) && !endpoint.unconfirmed(self.now)
+        endpoint.inventory.keys.contains(&required) && !endpoint.unconfirmed(self.now)
     }
 
     /// Returns the number of requests known to run or wait at all endpoints of a service.
@@ -154,15 +156,15 @@
     /// Returns the cost of dispatching to an endpoint, in shares of its slots; `runs` is the total
     /// of its service.
     pub(super) fn cost(&self, endpoint: &Endpoint, request: &Request, runs: u32) -> f64 {
-        let mut cost = endpoint.fill();
-        cost += FAILURE_COST * (endpoint.failing - FAILURE_TOLERANCE).max(0.0);
+        let mut cost = endpoint.load_ratio();
+        cost += FAILURE_COST * (endpoint.failure_rate - FAILURE_TOLERANCE).max(0.0);
         if endpoint.member.zone != self.profile.zone {
             cost += ZONE_COST;
         }
-        cost += endpoint.lag(self.now) / request.target_ms.max(1) as f64;
+        cost += endpoint.ttfb_ms(self.now) / request.target_ms.max(1) as f64;
         if request.required.is_some() {
             cost += self.concentration_cost(endpoint, runs);
-            if endpoint.dark(self.now) || endpoint.life.suspect(self.now) {
+            if endpoint.side_silent(self.now) || endpoint.liveness.maybe_stalled(self.now) {
                 cost += SILENT_COST;
             }
         }
--- a/crates/pool/src/entry/demand.rs
+++ b/crates/pool/src/entry/demand.rs
@@ -3,7 +3,9 @@
 use citronrill_base::{Map, ModelKey, Set, rendezvous_score};
 use citronrill_wire::UsageReport;
 
-use super::{EntryEffect, PoolEntry, RequestId, placement::HORIZON_S, wants::DELAY_PER_WAITER_MS};
+use super::{
+    EntryEffect, PoolEntry, RequestId, load_requests::DELAY_PER_WAITER_MS, placement::HORIZON_S,
+};
 use crate::{endpoint::Endpoint, rate::Rate};
 
 /// Minimum requests per second of a busy model: its loss affects callers within half a second.
@@ -60,7 +62,7 @@
             fresh.max_by_key(|endpoint| rendezvous_score(&model, &endpoint.member.instance));
         let Some(address) = counter.map(|endpoint| endpoint.member.address) else { return };
         let missed = UsageReport { model, adapter: String::new(), missed: true };
-        self.effects.push(EntryEffect::Used(address, missed));
+        self.effects.push(EntryEffect::ReportUsage(address, missed));
     }
 
     /// Returns the misses per second of a model, over all entries.
@@ -105,10 +107,10 @@
     /// Returns the endpoints that hold a model and are live according to their side.
     pub(super) fn live_holders(&self, key: ModelKey) -> impl Iterator<Item = &Endpoint> {
         self.pool.endpoints.values().filter(move |endpoint| {
-            endpoint.open()
-                && endpoint.holding.models.contains(&key)
+            endpoint.accepts_requests()
+                && endpoint.inventory.models.contains(&key)
                 && endpoint.fresh_side(self.now).is_some_and(|side| side.healthy)
-                && !endpoint.life.silent(self.now)
+                && !endpoint.liveness.is_stalled(self.now)
         })
     }
 
@@ -136,29 +138,27 @@
     /// them from the weight store, which carries four loads at full speed and had no capacity for
     /// another model for 6 s.
     pub(super) fn load_remaining_ms(&self, key: ModelKey) -> Option<f64> {
-        let sides = self
-            .pool
-            .endpoints
-            .values()
-            .filter(|endpoint| endpoint.open() && !endpoint.holding.models.contains(&key));
+        let sides = self.pool.endpoints.values().filter(|endpoint| {
+            endpoint.accepts_requests() && !endpoint.inventory.models.contains(&key)
+        });
         let sides = sides.filter_map(|endpoint| endpoint.fresh_side(self.now));
         let loading = sides.filter(|side| side.healthy && side.loading.contains(&key));
-        let left = loading.map(|side| side.left_ms(self.now));
+        let left = loading.map(|side| side.remaining_ms(self.now));
         left.min().map(|ms| ms as f64)
     }
 
     /// Returns the number of endpoints that hold a model, that have its weights cached, and that
     /// are loading it.
     pub(super) fn availability(&self, key: ModelKey) -> (usize, usize, usize) {
-        let open = self.pool.endpoints.values().filter(|endpoint| endpoint.open());
-        let copies = open.filter(|endpoint| endpoint.holding.has_copy(key)).count();
+        let open = self.pool.endpoints.values().filter(|endpoint| endpoint.accepts_requests());
+        let copies = open.filter(|endpoint| endpoint.inventory.has_cached_weights(key)).count();
         (self.live_holders(key).count(), copies, self.loading_count(key))
     }
 
     /// Returns the number of endpoints that are loading a model, for any entry.
     pub(super) fn loading_count(&self, key: ModelKey) -> usize {
         let sides = self.pool.endpoints.values().filter_map(|endpoint| {
-            let held = endpoint.holding.models.contains(&key);
+            let held = endpoint.inventory.models.contains(&key);
             endpoint.fresh_side(self.now).filter(|_| !held)
         });
         sides.filter(|side| side.loading.contains(&key)).count()
@@ -189,7 +189,7 @@
                     .pool
                     .endpoints
                     .values()
-                    .any(|endpoint| endpoint.holding.models.contains(key))
+                    .any(|endpoint| endpoint.inventory.models.contains(key))
         };
         // Only models missed at this entry: if every entry requested the models that all of them
         // miss, engines, which load one model at a time, would load the same ones twice.
--- a/crates/pool/src/entry/exchange.rs
+++ b/crates/pool/src/entry/dispatch.rs
@@ -5,8 +5,8 @@
 use citronrill_wire::UsageReport;
 
 use super::{
-    AnswerHead, EntryEffect, FailureKind, PoolEntry, Reason, Refusal, Request, RequestId, Resume,
-    Sending, Stage, Verdict, judge,
+    Dispatch, EntryEffect, FailureKind, PoolEntry, Reason, Refusal, Request, RequestId,
+    ResponseHead, Resume, Stage, Verdict, classify_response,
 };
 
 /// Maximum dispatches of one request, including refused ones: a backstop in addition to the retry
@@ -38,8 +38,8 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(endpoint) = self.pool.endpoints.get_mut(instance) else { return };
         request.backup = backup;
-        let resume = Resume { after: request.last_event, copy };
-        endpoint.own += 1;
+        let resume = Resume { last_event: request.last_event, copy };
+        endpoint.own_requests += 1;
         endpoint.load += 1;
         endpoint.unreported += 1;
         request.stage = Stage::Sent;
@@ -48,7 +48,7 @@
         request.sent = now;
         request.instance = Some(instance.to_owned());
         request.dispatches += 1;
-        let dispatch = Sending {
+        let dispatch = Dispatch {
             number: request.dispatches,
             address: endpoint.member.address,
             instance: instance.to_owned(),
@@ -69,14 +69,14 @@
             .with("fleet_load", fleet_load)
             .with("backup", request.backup.as_deref().unwrap_or(""))
             .with("copy", copy)
-            .with("list", self.pool.version)
-            .with("sequence", endpoint.holding.sequence);
+            .with("list", self.pool.list_version)
+            .with("sequence", endpoint.inventory.sequence);
         if request.required.is_some() {
             let (model, adapter) = (request.model.clone(), request.adapter.clone());
             let usage = UsageReport { model, adapter, missed: false };
-            self.effects.push(EntryEffect::Used(dispatch.address, usage));
+            self.effects.push(EntryEffect::ReportUsage(dispatch.address, usage));
         }
-        self.effects.push(EntryEffect::Send(id, dispatch));
+        self.effects.push(EntryEffect::Dispatch(id, dispatch));
         self.log(event);
     }
 
@@ -104,40 +104,40 @@
             .is_some_and(|request| request.stage == Stage::Sent && request.dispatches == dispatch)
     }
 
-    pub(super) fn answer(&mut self, id: RequestId, head: AnswerHead) {
+    pub(super) fn response_started(&mut self, id: RequestId, head: ResponseHead) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let verdict = judge(head, request.repeat);
+        let verdict = classify_response(head, request.retry_policy);
         // Once the caller has the head of a successful response, an endpoint's error response can
         // no longer be forwarded: its body would be taken for the rest of the first response.
         let head_sent = request.head_sent;
-        let unforwardable = head_sent && verdict == Verdict::Pass && !head.success();
+        let unforwardable = head_sent && verdict == Verdict::Forward && !head.success();
         let verdict = if unforwardable { Verdict::Failed } else { verdict };
         let endpoint =
             request.instance.as_ref().and_then(|instance| self.pool.endpoints.get_mut(instance));
         if let Some(endpoint) = endpoint {
-            endpoint.life.hear(now);
+            endpoint.liveness.record_traffic(now);
             if let Some(load) = head.load {
-                endpoint.take_load(load);
+                endpoint.set_load(load);
             }
-            if verdict == Verdict::Pass {
+            if verdict == Verdict::Forward {
                 request.head_ms = now.since(request.sent);
-                endpoint.note_lag(request.head_ms, now);
+                endpoint.record_ttfb(request.head_ms, now);
             }
             if verdict != Verdict::NotRun {
-                endpoint.note(verdict == Verdict::Failed || head.status >= 500);
+                endpoint.record_result(verdict == Verdict::Failed || head.status >= 500);
             } else if head.status == 421 {
                 // The endpoint does not have the model that it was known to have. The key is
                 // removed until the member list or the side reports something newer; otherwise
                 // requests would be dispatched there in a loop.
                 let required = request.required;
-                endpoint.holding.keys.retain(|key| Some(*key) != required);
+                endpoint.inventory.keys.retain(|key| Some(*key) != required);
             }
         }
         match verdict {
-            Verdict::Pass => self.forward(id),
+            Verdict::Forward => self.forward(id),
             Verdict::NotRun => {
-                let stale = request.instance.clone().filter(|_| head.elsewhere);
+                let stale = request.instance.clone().filter(|_| head.other_incarnation);
                 self.retry_or_end(id, false, head.status, false);
                 if let Some(instance) = stale {
                     self.log(LogEvent::new("superseded").with("instance", &instance));
@@ -146,19 +146,19 @@
                 }
             }
             Verdict::Failed => {
-                let own_failure = head.signed && !head.foreign && head.status >= 500;
+                let own_failure = head.signed && !head.misdirected && head.status >= 500;
                 self.retry_or_end(id, true, head.status, own_failure && !head_sent);
             }
         }
     }
 
-    pub(super) fn fail(&mut self, id: RequestId, kind: FailureKind) {
+    pub(super) fn dispatch_failed(&mut self, id: RequestId, kind: FailureKind) {
         let now = self.now;
         let Some(request) = self.requests.get(&id) else { return };
         let instance = request.instance.clone().unwrap_or_default();
         if let Some(endpoint) = self.pool.endpoints.get_mut(&instance) {
-            endpoint.note(true);
-            if kind == FailureKind::Unreached {
+            endpoint.record_result(true);
+            if kind == FailureKind::Unreachable {
                 endpoint.avoid(now);
             }
         }
@@ -172,7 +172,7 @@
         request.runs += u32::from(ran);
         let runs = request.runs;
         let exhausted = request.dispatches >= MAX_DISPATCHES || runs >= request.max_attempts;
-        let barred = exhausted || runs > 0 && !request.repeat.may_rerun();
+        let barred = exhausted || runs > 0 && !request.retry_policy.may_retry();
         let event = LogEvent::new("failed")
             .with("id", &request.caller_id)
             .with("from", request.instance.as_deref().unwrap_or(""))
@@ -200,15 +200,15 @@
     fn forward(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.stage = Stage::Responding;
-            self.effects.push(EntryEffect::Pass(id));
+            self.effects.push(EntryEffect::Forward(id));
         }
     }
 
-    pub(super) fn finish(&mut self, id: RequestId, complete: bool) {
+    pub(super) fn response_ended(&mut self, id: RequestId, complete: bool) {
         let instance = self.requests.get(&id).and_then(|request| request.instance.clone());
         if let Some(endpoint) = instance.and_then(|instance| self.pool.endpoints.get_mut(&instance))
         {
-            endpoint.note(!complete);
+            endpoint.record_result(!complete);
         }
         self.release(id);
         if let Some(request) = self.requests.remove(&id) {
@@ -227,8 +227,11 @@
         self.release(id);
         if let Some(request) = self.requests.remove(&id) {
             let instance = request.instance.as_deref().unwrap_or("");
-            let silent =
-                self.pool.endpoints.get(instance).is_some_and(|endpoint| endpoint.dark(self.now));
+            let silent = self
+                .pool
+                .endpoints
+                .get(instance)
+                .is_some_and(|endpoint| endpoint.side_silent(self.now));
             let event = LogEvent::new("left").with("id", &request.caller_id).with("from", instance);
             let event = event.with("after_ms", self.now.since(request.arrived));
             self.log(
@@ -246,7 +249,7 @@
         let endpoint =
             request.instance.as_ref().and_then(|instance| self.pool.endpoints.get_mut(instance));
         if let Some(endpoint) = endpoint {
-            endpoint.own = endpoint.own.saturating_sub(1);
+            endpoint.own_requests = endpoint.own_requests.saturating_sub(1);
             endpoint.load = endpoint.load.saturating_sub(1);
         }
     }
@@ -268,7 +271,7 @@
         self.log(
             LogEvent::new("refused")
                 .with("id", &request.caller_id)
-                .with("reason", reason.word())
+                .with("reason", reason.as_str())
                 .with("status", reason.status())
                 .with("model", &request.model)
                 .with("holders", holders)
@@ -278,7 +281,7 @@
                 .with("sends", request.dispatches)
                 .with("runs", request.runs)
                 .with("text", self.config_version())
-                .with("list", self.pool.version),
+                .with("list", self.pool.list_version),
         );
         self.effects.push(EntryEffect::Refuse(id, Refusal { reason, retry_ms }));
     }
@@ -294,11 +297,11 @@
         let spread = |ms: u64| hash_bytes(request.caller_id.as_bytes()) % (ms + 1);
         match reason {
             Reason::Full => Some(soon + spread(request.target_ms / 4)),
-            Reason::NoEndpoint | Reason::TooFar => {
+            Reason::NoEndpoint | Reason::TooLate => {
                 let ms = self.ready_ms(request).unwrap_or(0).max(soon);
                 Some(ms + spread((request.target_ms / 4).max(ms / RETRY_SPREAD)))
             }
-            Reason::NoText | Reason::OldText => Some(NO_CONFIG_RETRY_MS),
+            Reason::NoConfig | Reason::StaleConfig => Some(NO_CONFIG_RETRY_MS),
             // Any other entry can serve it at once.
             Reason::Stopping => Some(STOPPING_RETRY_MS),
             Reason::Expired
--- a/crates/pool/src/entry/wants.rs
+++ b/crates/pool/src/entry/load_requests.rs
@@ -89,10 +89,10 @@
         let left = request.wait_ms(self.now);
         let paused = self.holder_paused(request);
         let held = |endpoint: &&Endpoint| {
-            endpoint.open()
-                && endpoint.holding.keys.contains(&base)
+            endpoint.accepts_requests()
+                && endpoint.inventory.keys.contains(&base)
                 && endpoint.member.service == request.service
-                && endpoint.moves(self.now)
+                && endpoint.is_responsive(self.now)
                 && endpoint.fresh_side(self.now).is_some_and(|side| !side.evicting.contains(&base))
         };
         if !adapter.is_empty() {
@@ -147,16 +147,17 @@
         self.count_miss(id, base);
         let paused = self.requests.get(&id).is_some_and(|request| self.holder_paused(request));
         if !paused {
-            self.refuse(id, Reason::TooFar);
+            self.refuse(id, Reason::TooLate);
         }
     }
 
     /// Returns whether an endpoint is listed as a holder of a model and its side has yet to confirm
     /// that.
     fn holder_unconfirmed(&self, model: ModelKey) -> bool {
-        let mut holders = self.pool.endpoints.values().filter(|endpoint| endpoint.open());
+        let mut holders =
+            self.pool.endpoints.values().filter(|endpoint| endpoint.accepts_requests());
         holders.any(|endpoint| {
-            endpoint.unconfirmed(self.now) && endpoint.holding.models.contains(&model)
+            endpoint.unconfirmed(self.now) && endpoint.inventory.models.contains(&model)
         })
     }
 
@@ -173,10 +174,10 @@
             .get(&load_request.instance)
             .and_then(|endpoint| endpoint.side.as_ref());
         let Some(side) = side else { return };
-        let known_ms = side.left_ms(self.now);
+        let known_ms = side.remaining_ms(self.now);
         let late = load_request.confirmed && known_ms > request.wait_ms(self.now);
         if late && !self.holder_paused(request) {
-            self.refuse(id, Reason::TooFar);
+            self.refuse(id, Reason::TooLate);
         }
     }
 
@@ -191,12 +192,14 @@
         let engine = self.config.as_ref().and_then(|config| config.service(&request.service));
         let engine = engine.and_then(|service| service.engine.as_ref());
         let spec = engine.and_then(|engine| engine.model(&request.model));
-        let copied = |endpoint: &Endpoint| endpoint.open() && endpoint.holding.has_copy(base);
+        let copied = |endpoint: &Endpoint| {
+            endpoint.accepts_requests() && endpoint.inventory.has_cached_weights(base)
+        };
         let cached = self.pool.endpoints.values().any(copied);
         let needs = spec.map_or(0, |spec| if cached { spec.disk_ms } else { spec.store_ms });
         let waited = now.since(request.arrived);
         if request.wait_ms(now) < needs {
-            self.refuse(id, Reason::TooFar);
+            self.refuse(id, Reason::TooLate);
         } else if waited > request.target_ms.max(PLACE_WAIT_MS) {
             self.refuse(id, Reason::NoEndpoint);
         }
@@ -230,7 +233,7 @@
         let sides =
             self.pool.endpoints.values().filter_map(|endpoint| endpoint.fresh_side(self.now));
         let loading = sides.filter(|side| side.store_loads > 0);
-        let free = loading.map(|side| side.left_ms(self.now)).min();
+        let free = loading.map(|side| side.remaining_ms(self.now)).min();
         Some(free.unwrap_or(0) + spec.store_ms)
     }
 
@@ -242,11 +245,14 @@
     /// as many: if it stalled, all callers of the adapter would hang with it.
     fn adapter_cost(&self, endpoint: &Endpoint, model: &str, adapter: &str) -> f64 {
         let side = endpoint.fresh_side(self.now);
-        let busy = side.map_or(0, |side| side.order_eta_ms.saturating_sub(self.now.since(side.at)));
+        let busy = side
+            .map_or(0, |side| side.order_eta_ms.saturating_sub(self.now.since(side.received_at)));
         let name = full_name(model, adapter);
         let affinity = rendezvous_score(&name, &endpoint.member.instance) as f64 / u64::MAX as f64;
         let runs = self.service_runs(&endpoint.member.service);
-        endpoint.fill() + self.concentration_cost(endpoint, runs) + busy as f64 / ORDER_DELAY_MS
+        endpoint.load_ratio()
+            + self.concentration_cost(endpoint, runs)
+            + busy as f64 / ORDER_DELAY_MS
             - affinity
     }
 
@@ -265,7 +271,7 @@
         let service = &endpoint.member.service;
         let engines =
             self.pool.endpoints.values().filter(|endpoint| endpoint.member.service == *service);
-        let from_store = adapter.is_empty() && !endpoint.holding.has_copy(key);
+        let from_store = adapter.is_empty() && !endpoint.inventory.has_cached_weights(key);
         let waiting = self.requests.values().filter(|request| {
             request.stage == Stage::Waiting
                 && (request.required == Some(key) || request.base == Some(key))
@@ -293,7 +299,7 @@
             .with("victims", message.eviction_candidates.join(","))
             .with("rates", rates.join(","))
             .with("waiting", message.waiting)
-            .with("sequence", endpoint.holding.sequence);
+            .with("sequence", endpoint.inventory.sequence);
         let load_request = SentLoadRequest {
             instance: instance.to_owned(),
             address,
@@ -305,7 +311,7 @@
             declined: false,
         };
         self.load_requests.insert(key, load_request);
-        self.effects.push(EntryEffect::Want(address, message));
+        self.effects.push(EntryEffect::LoadRequest(address, message));
         self.log(event);
     }
 
@@ -319,8 +325,8 @@
 
     /// Removes load requests that the reported state of an endpoint's side has resolved.
     pub(super) fn resolve_load_requests(&mut self, address: SocketAddr) {
-        let Some(endpoint) = self.pool.at(address) else { return };
-        let held = endpoint.holding.keys.clone();
+        let Some(endpoint) = self.pool.endpoint_at(address) else { return };
+        let held = endpoint.inventory.keys.clone();
         let loading = endpoint.side.as_ref().map(|side| side.loading.clone()).unwrap_or_default();
         let now = self.now;
         self.load_requests.retain(|key, load_request| {
--- a/crates/pool/src/entry/mod.rs
+++ b/crates/pool/src/entry/mod.rs
@@ -2,19 +2,19 @@
 
 mod admit;
 mod choose;
-mod clock;
 mod demand;
-mod exchange;
+mod dispatch;
+mod load_requests;
 mod placement;
+mod preload;
 mod replicas;
 mod resume;
 mod rules;
-mod silence;
-mod stock;
+mod stalls;
 mod store_limit;
+mod store_loads;
+mod timers;
 mod types;
-mod wants;
-mod weights;
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -22,20 +22,20 @@
 use citronrill_decide::LogEvent;
 use citronrill_wire::{ModelName, SideState};
 
-pub use self::rules::judge;
+pub use self::rules::classify_response;
 pub use self::types::{
-    AnswerHead, Arrival, EntryEffect, EntryEvent, EntryProfile, FailureKind, Reason, Refusal,
-    RequestId, Resume, Sending, SideLoss, TokenCount, Verdict,
+    Arrival, Dispatch, EntryEffect, EntryEvent, EntryProfile, FailureKind, Reason, Refusal,
+    RequestId, ResponseHead, Resume, SideLoss, TokenCount, Verdict,
 };
 use self::{
-    choose::Choice, demand::Demand, exchange::MAX_DISPATCHES, resume::Losses, stock::PreloadState,
-    store_limit::StoreLimit, wants::SentLoadRequest,
+    choose::Choice, demand::Demand, dispatch::MAX_DISPATCHES, load_requests::SentLoadRequest,
+    preload::PreloadState, resume::Losses, store_limit::StoreLimit,
 };
 use crate::{
     budget::RetryBudget,
+    config::{RetryPolicy, ServingConfig},
     member::{MemberChange, full_name},
-    pool::{Listed, Pool},
-    text::{Repeat, ServingText},
+    pool::{ListOutcome, Pool},
 };
 
 /// Entry count assumed until a side has reported one. A high count gives each entry a small share
@@ -76,7 +76,7 @@
 struct Request {
     caller_id: String,
     service: String,
-    repeat: Repeat,
+    retry_policy: RetryPolicy,
     priority: u8,
     max_attempts: u32,
     target_ms: u64,
@@ -158,7 +158,7 @@
     /// or its model will be loaded too late for the caller's idle timeout but may be ready on a
     /// retry.
     fn late_reason(&self, now: Millis) -> Reason {
-        if self.deadline.since(now) < MIN_REMAINING_MS { Reason::Expired } else { Reason::TooFar }
+        if self.deadline.since(now) < MIN_REMAINING_MS { Reason::Expired } else { Reason::TooLate }
     }
 }
 
@@ -178,7 +178,7 @@
     now: Millis,
     /// Time of the last deadline check.
     last_check: Millis,
-    config: Option<Arc<ServingText>>,
+    config: Option<Arc<ServingConfig>>,
     /// Whether the platform store has confirmed that this configuration is current.
     config_current: bool,
     pool: Pool,
@@ -219,7 +219,7 @@
 
     /// Returns whether requests can be served: configuration and member list are known.
     pub fn ready(&self) -> bool {
-        self.config.is_some() && self.pool.version > 0
+        self.config.is_some() && self.pool.list_version > 0
     }
 
     /// Returns the version of the active configuration; 0 if none is known.
@@ -229,11 +229,11 @@
 
     /// Returns the version of the member list.
     pub fn members_version(&self) -> u64 {
-        self.pool.version
+        self.pool.list_version
     }
 
     /// Returns the number of requests in flight.
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
@@ -241,32 +241,32 @@
     pub fn step(&mut self, now: Millis, event: EntryEvent) -> Vec<EntryEffect> {
         self.now = now;
         match event {
-            EntryEvent::Text(config) => self.apply_config(config),
-            EntryEvent::TextCurrent(current) => self.config_current = current,
+            EntryEvent::Config(config) => self.apply_config(config),
+            EntryEvent::ConfigCurrent(current) => self.config_current = current,
             EntryEvent::Members(change) => self.apply_members(change),
-            EntryEvent::Side(address, state) => self.apply_side_state(address, &state),
-            EntryEvent::Alive(address) => self.record_alive(address),
+            EntryEvent::SideReport(address, state) => self.apply_side_state(address, &state),
+            EntryEvent::ProbeReply(address) => self.record_probe_reply(address),
             EntryEvent::SideLost(address, loss) => self.side_lost(address, loss),
-            EntryEvent::Declined(address, name) => self.record_decline(address, &name),
-            EntryEvent::Arrive(arrival) => self.arrive(arrival),
-            EntryEvent::Answer(id, dispatch, head) => {
+            EntryEvent::LoadDeclined(address, name) => self.record_decline(address, &name),
+            EntryEvent::RequestArrived(arrival) => self.request_arrived(arrival),
+            EntryEvent::ResponseHead(id, dispatch, head) => {
                 if self.is_current(id, dispatch) {
-                    self.answer(id, head);
+                    self.response_started(id, head);
                 }
             }
-            EntryEvent::Fail(id, dispatch, kind) => {
+            EntryEvent::DispatchFailed(id, dispatch, kind) => {
                 if self.is_current(id, dispatch) {
-                    self.fail(id, kind);
+                    self.dispatch_failed(id, kind);
                 }
             }
             EntryEvent::Progress(ids) => self.progress(&ids),
-            EntryEvent::Finish(id, complete) => self.finish(id, complete),
-            EntryEvent::Broke(id, last_event) => self.stream_broken(id, last_event),
-            EntryEvent::Leave(id) => self.caller_left(id),
+            EntryEvent::ResponseEnded(id, complete) => self.response_ended(id, complete),
+            EntryEvent::StreamBroken(id, last_event) => self.stream_broken(id, last_event),
+            EntryEvent::CallerLeft(id) => self.caller_left(id),
             EntryEvent::Stop(wait_ms, end_ms) => {
                 self.stop = Some(Stop { wait_until: now + wait_ms, end_by: now + end_ms });
             }
-            EntryEvent::Look => self.check_deadlines(),
+            EntryEvent::UrgentTick => self.check_deadlines(),
             EntryEvent::Tick => self.tick(),
         }
         std::mem::take(&mut self.effects)
@@ -274,7 +274,7 @@
 
     /// Applies a configuration. Ignores a version that is not newer, so that an entry never goes
     /// back to an older configuration.
-    fn apply_config(&mut self, config: Arc<ServingText>) {
+    fn apply_config(&mut self, config: Arc<ServingConfig>) {
         if config.version <= self.config_version() {
             return;
         }
@@ -282,7 +282,7 @@
         self.log(LogEvent::new("text").with("version", config.version).with("old", old));
         let services = config.services.iter().map(|service| service.name.clone()).collect();
         self.config = Some(config);
-        let listed = self.pool.serve(services, &mut self.names, self.now);
+        let listed = self.pool.set_services(services, &mut self.names, self.now);
         self.handle_membership(listed);
         self.update_sides();
         self.schedule_waiting();
@@ -296,24 +296,25 @@
     }
 
     /// Handles the effects of a membership change.
-    fn handle_membership(&mut self, listed: Listed) {
-        let version = self.pool.version;
-        for instance in listed.anew {
+    fn handle_membership(&mut self, listed: ListOutcome) {
+        let version = self.pool.list_version;
+        for instance in listed.restarted {
             self.handle_restart(&instance, "list");
         }
-        for instance in listed.older {
+        for instance in listed.deferred {
             let event = LogEvent::new("older_start").with("instance", instance);
             self.log(event.with("version", version));
         }
         for service in listed.departed {
             self.preload.count_departure(&service, self.now);
         }
-        for (instance, service) in listed.strangers {
+        for (instance, service) in listed.unserved {
             let event = LogEvent::new("unknown_service").with("instance", instance);
             self.log(event.with("service", service).with("version", version));
         }
-        if listed.moved {
-            let open = self.pool.endpoints.values().filter(|endpoint| endpoint.open()).count();
+        if listed.usable_changed {
+            let open =
+                self.pool.endpoints.values().filter(|endpoint| endpoint.accepts_requests()).count();
             let event = LogEvent::new("members").with("version", version);
             self.log(event.with("known", self.pool.endpoints.len()).with("open", open));
             self.update_sides();
@@ -340,17 +341,17 @@
         let sides = members.filter(|member| engine(&member.service)).map(|member| member.address);
         let mut sides = sides.collect::<Vec<_>>();
         sides.sort_unstable();
-        self.effects.push(EntryEffect::Sides(sides));
+        self.effects.push(EntryEffect::ConnectSides(sides));
     }
 
     fn apply_side_state(&mut self, address: SocketAddr, state: &SideState) {
-        if let Some(heard) = self.pool.hear(address, state, &mut self.names, self.now) {
-            let restarted = self.pool.at(address).filter(|_| heard.anew);
+        if let Some(outcome) = self.pool.apply_report(address, state, &mut self.names, self.now) {
+            let restarted = self.pool.endpoint_at(address).filter(|_| outcome.restarted);
             if let Some(instance) = restarted.map(|endpoint| endpoint.member.instance.clone()) {
                 self.handle_restart(&instance, "side");
             }
-            if let Some(over) = heard.over {
-                let event = LogEvent::new("superseded").with("instance", over);
+            if let Some(ended) = outcome.ended {
+                let event = LogEvent::new("superseded").with("instance", ended);
                 self.log(event.with("by", &state.instance).with("sequence", state.sequence));
                 self.record_loss(&state.instance);
             }
@@ -360,26 +361,26 @@
         }
     }
 
-    fn record_alive(&mut self, address: SocketAddr) {
+    fn record_probe_reply(&mut self, address: SocketAddr) {
         let now = self.now;
-        if let Some(endpoint) = self.pool.at(address) {
-            endpoint.life.hear(now);
+        if let Some(endpoint) = self.pool.endpoint_at(address) {
+            endpoint.liveness.record_traffic(now);
         }
     }
 
     fn side_lost(&mut self, address: SocketAddr, loss: SideLoss) {
         let now = self.now;
-        let Some(endpoint) = self.pool.at(address) else { return };
+        let Some(endpoint) = self.pool.endpoint_at(address) else { return };
         match loss {
-            SideLoss::Closed => endpoint.life.unlink(),
-            SideLoss::Silent => endpoint.life.lose(now),
+            SideLoss::Closed => endpoint.liveness.mark_disconnected(),
+            SideLoss::Silent => endpoint.liveness.mark_lost(now),
         }
     }
 
     fn record_decline(&mut self, address: SocketAddr, name: &ModelName) {
         let now = self.now;
-        let Some(endpoint) = self.pool.at(address) else { return };
-        endpoint.decline(now);
+        let Some(endpoint) = self.pool.endpoint_at(address) else { return };
+        endpoint.mark_declined(now);
         let event = LogEvent::new("want_declined").with("at", &endpoint.member.instance);
         let full = full_name(&name.model, &name.adapter);
         let key = self.names.intern(&full);
@@ -430,9 +431,9 @@
         };
         let ahead = self.requests.range(..id).map(|(_, other)| other).filter(same).count();
         let holders = self.pool.endpoints.values().filter(|endpoint| {
-            endpoint.open()
+            endpoint.accepts_requests()
                 && endpoint.member.service == request.service
-                && request.base.is_none_or(|base| endpoint.holding.models.contains(&base))
+                && request.base.is_none_or(|base| endpoint.inventory.models.contains(&base))
         });
         let slots = holders.map(|endpoint| endpoint.member.slots).sum::<u32>();
         let entries = self.entries();
@@ -447,7 +448,7 @@
     /// Returns the number of entries that the sides report.
     fn entries(&self) -> u32 {
         let sides = self.pool.endpoints.values().filter_map(|endpoint| endpoint.side.as_ref());
-        let entries = sides.map(|side| side.entries).max().filter(|entries| *entries > 0);
+        let entries = sides.map(|side| side.entry_count).max().filter(|entries| *entries > 0);
         entries.map_or(ASSUMED_ENTRIES, |entries| entries.max(MIN_ENTRIES))
     }
 
--- a/crates/pool/src/entry/placement.rs
+++ b/crates/pool/src/entry/placement.rs
@@ -4,8 +4,8 @@
 
 use super::{PoolEntry, demand::side_rate};
 use crate::{
+    config::{EngineSpec, ModelSpec},
     endpoint::Endpoint,
-    text::{EngineSpec, ModelSpec},
 };
 
 /// Milliseconds by which a model in use delays its own unloading: a stream runs for about half a
@@ -66,8 +66,8 @@
         let engine = self.config.as_ref()?.service(service)?.engine.as_ref()?;
         let spec = engine.model(name)?;
         let members = self.pool.endpoints.values();
-        let candidates =
-            members.filter(|endpoint| endpoint.open() && endpoint.member.service == service);
+        let candidates = members
+            .filter(|endpoint| endpoint.accepts_requests() && endpoint.member.service == service);
         let store = self.store_open(model) && !self.copy_unconfirmed(service, model);
         let places =
             candidates.filter_map(|endpoint| self.place_at(endpoint, engine, spec, model, store));
@@ -83,10 +83,10 @@
     /// weight store, a tenth of a second before the report of an instance that had them on disk.
     fn copy_unconfirmed(&self, service: &str, model: ModelKey) -> bool {
         self.pool.endpoints.values().any(|endpoint| {
-            endpoint.open()
+            endpoint.accepts_requests()
                 && endpoint.member.service == service
-                && endpoint.unheard_yet(self.now)
-                && endpoint.holding.has_copy(model)
+                && endpoint.awaiting_first_report(self.now)
+                && endpoint.inventory.has_cached_weights(model)
         })
     }
 
@@ -100,17 +100,17 @@
     ) -> Option<Place> {
         let side = endpoint.fresh_side(self.now).filter(|side| side.healthy)?;
         let unavailable = endpoint.avoided(self.now)
-            || endpoint.life.silent(self.now)
+            || endpoint.liveness.is_stalled(self.now)
             || self.now < endpoint.declined_until;
-        if unavailable || endpoint.holding.models.contains(&model) {
+        if unavailable || endpoint.inventory.models.contains(&model) {
             return None;
         }
-        let from_store = !endpoint.holding.has_copy(model);
+        let from_store = !endpoint.inventory.has_cached_weights(model);
         if from_store && !store_open {
             return None;
         }
         let mut cost = if from_store { STORE_COST_MS } else { 0.0 };
-        let load_ms = if endpoint.holding.in_memory.contains(&model) {
+        let load_ms = if endpoint.inventory.in_memory.contains(&model) {
             spec.memory_ms
         } else if from_store {
             spec.store_ms
@@ -159,11 +159,11 @@
         };
         // Models that are being loaded occupy memory like loaded ones. Memory for the maximum
         // number of adapters is kept free, so that an adapter never evicts a model.
-        let loading = side.loading.iter().filter(|key| !endpoint.holding.models.contains(key));
-        let used = endpoint.holding.models.iter().chain(loading).map(size).sum::<f64>();
+        let loading = side.loading.iter().filter(|key| !endpoint.inventory.models.contains(key));
+        let used = endpoint.inventory.models.iter().chain(loading).map(size).sum::<f64>();
         let adapters = f64::from(engine.adapter_limit) * spec.adapter_mb;
         let mut free = engine.weights_mb - used - adapters;
-        let evictable = endpoint.holding.models.iter().filter(|key| !side.pinned.contains(key));
+        let evictable = endpoint.inventory.models.iter().filter(|key| !side.pinned.contains(key));
         let mut order =
             evictable.map(|key| (self.eviction_loss(*key, endpoint), *key)).collect::<Vec<_>>();
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/crates/pool/src/entry/stock.rs
+++ b/crates/pool/src/entry/preload.rs
@@ -14,9 +14,9 @@
     placement::Place,
 };
 use crate::{
+    config::{EngineSpec, ModelSpec},
+    decaying_count::DecayingCount,
     endpoint::Endpoint,
-    tally::Tally,
-    text::{EngineSpec, ModelSpec},
 };
 
 /// Milliseconds between checks: a load takes seconds, and a check visits all cached weights.
@@ -43,8 +43,8 @@
 pub(super) struct PreloadState {
     last_check: Millis,
     /// Endpoints that are leaving or gone, by service.
-    departures: Map<String, Tally>,
-    requests: Map<ModelKey, Tally>,
+    departures: Map<String, DecayingCount>,
+    requests: Map<ModelKey, DecayingCount>,
     first_request: Option<Millis>,
     /// When the first member list was received.
     first_list: Option<Millis>,
@@ -73,7 +73,7 @@
         let seen_ms = self.first_request.map_or(0, |first| now.since(first)) as f64;
         let span_s = DEMAND_DECAY_MS / 1_000.0 * (1.0 - (-seen_ms / DEMAND_DECAY_MS).exp());
         let weight =
-            self.requests.get(&key).map_or(0.0, |tally| tally.decayed(DEMAND_DECAY_MS, now));
+            self.requests.get(&key).map_or(0.0, |count| count.decayed(DEMAND_DECAY_MS, now));
         // In the first seconds, one request says little about the rate.
         weight / span_s.max(NEXT_USE_S / 3.0)
     }
@@ -144,10 +144,11 @@
     /// Returns the share of a service's endpoints that leave in a second.
     fn leaving_rate(&self, service: &str) -> f64 {
         let open = self.pool.endpoints.values();
-        let open =
-            open.filter(|endpoint| endpoint.open() && endpoint.member.service == service).count();
+        let open = open
+            .filter(|endpoint| endpoint.accepts_requests() && endpoint.member.service == service)
+            .count();
         let departures = self.preload.departures.get(service);
-        let left = departures.map_or(0.0, |tally| tally.decayed(DEPARTURE_DECAY_MS, self.now));
+        let left = departures.map_or(0.0, |count| count.decayed(DEPARTURE_DECAY_MS, self.now));
         left * 1_000.0 / DEPARTURE_DECAY_MS / open.max(1) as f64
     }
 
@@ -155,11 +156,12 @@
     fn copies(&self, service: &str) -> Map<ModelKey, u32> {
         let mut copies = Map::default();
         let open = self.pool.endpoints.values();
-        for endpoint in
-            open.filter(|endpoint| endpoint.open() && endpoint.member.service == service)
+        for endpoint in open
+            .filter(|endpoint| endpoint.accepts_requests() && endpoint.member.service == service)
         {
-            let holding = &endpoint.holding;
-            let kept = holding.models.iter().chain(&holding.in_memory).chain(&holding.on_disk);
+            let inventory = &endpoint.inventory;
+            let kept =
+                inventory.models.iter().chain(&inventory.in_memory).chain(&inventory.on_disk);
             let side = endpoint.fresh_side(self.now);
             let loading = side.iter().flat_map(|side| &side.loading);
             let mut keys = kept.chain(loading).copied().collect::<Vec<_>>();
@@ -184,7 +186,9 @@
     ) -> Option<Place> {
         let load_s = spec.store_ms as f64 / 1_000.0;
         let is_candidate = |endpoint: &&Endpoint| {
-            endpoint.open() && endpoint.member.service == service && !endpoint.holding.has_copy(key)
+            endpoint.accepts_requests()
+                && endpoint.member.service == service
+                && !endpoint.inventory.has_cached_weights(key)
         };
         let places = self.pool.endpoints.values().filter(is_candidate);
         let places = places.filter_map(|endpoint| self.place_at(endpoint, engine, spec, key, true));
--- a/crates/pool/src/entry/replicas.rs
+++ b/crates/pool/src/entry/replicas.rs
@@ -8,8 +8,8 @@
     placement::{HORIZON_S, MISS_COST_MS, Place},
 };
 use crate::{
+    config::{EngineSpec, ModelSpec},
     endpoint::Endpoint,
-    text::{EngineSpec, ModelSpec},
 };
 
 /// Requests per second for each slot that one replica serves well within its objective. A request
@@ -119,8 +119,8 @@
     /// store takes. On one pool this took 13 s, and 262 requests were refused on a day with low
     /// load.
     fn sole_copy_loss(&self, key: ModelKey, rate: f64, spec: &ModelSpec) -> f64 {
-        let open = self.pool.endpoints.values().filter(|endpoint| endpoint.open());
-        if open.filter(|endpoint| endpoint.holding.has_copy(key)).count() > 1 {
+        let open = self.pool.endpoints.values().filter(|endpoint| endpoint.accepts_requests());
+        if open.filter(|endpoint| endpoint.inventory.has_cached_weights(key)).count() > 1 {
             return 0.0;
         }
         let load_s = spec.store_ms as f64 / 1_000.0;
@@ -133,8 +133,8 @@
         let target = running.map(|request| request.target_ms).min();
         let Some(target) = target else { return false };
         let overload = |endpoint: &Endpoint| {
-            (endpoint.fill() / CROWDED_FILL)
-                .max(endpoint.lag(self.now) / target.max(1) as f64 / SLOW_TTFB)
+            (endpoint.load_ratio() / CROWDED_FILL)
+                .max(endpoint.ttfb_ms(self.now) / target.max(1) as f64 / SLOW_TTFB)
         };
         let least = self.live_holders(key).map(overload).fold(f64::INFINITY, f64::min);
         least.is_finite() && least > 1.0
--- a/crates/pool/src/entry/resume.rs
+++ b/crates/pool/src/entry/resume.rs
@@ -15,9 +15,9 @@
     TokenCount,
 };
 use crate::{
+    config::{EngineSpec, RetryPolicy},
+    decaying_count::DecayingCount,
     endpoint::Endpoint,
-    tally::Tally,
-    text::{EngineSpec, Repeat},
 };
 
 /// Milliseconds after which a lost endpoint counts 1/e. Endpoints crash in series, because the
@@ -39,7 +39,7 @@
 /// Endpoint losses seen by this entry.
 #[derive(Debug, Default)]
 pub(super) struct Losses {
-    by_service: Map<String, Tally>,
+    by_service: Map<String, DecayingCount>,
     /// When a loss was last recorded, by endpoint address.
     last_loss: Map<SocketAddr, Millis>,
 }
@@ -52,15 +52,15 @@
         let Some(endpoint) = self.pool.endpoints.get(instance) else { return };
         self.losses.last_loss.retain(|_, at| now.since(*at) < LOSS_WINDOW_MS);
         if self.losses.last_loss.insert(endpoint.member.address, now).is_none() {
-            let tally = self.losses.by_service.entry(endpoint.member.service.clone()).or_default();
-            tally.add(LOSS_DECAY_MS, now);
+            let count = self.losses.by_service.entry(endpoint.member.service.clone()).or_default();
+            count.add(LOSS_DECAY_MS, now);
         }
     }
 
     /// Returns the share of a service's endpoints that is lost in a second.
     fn loss_rate(&self, service: &str) -> f64 {
-        let tally = self.losses.by_service.get(service);
-        let lost = tally.map_or(0.0, |tally| tally.decayed(LOSS_DECAY_MS, self.now));
+        let count = self.losses.by_service.get(service);
+        let lost = count.map_or(0.0, |count| count.decayed(LOSS_DECAY_MS, self.now));
         let known =
             self.pool.endpoints.values().filter(|endpoint| endpoint.member.service == service);
         lost * 1_000.0 / LOSS_DECAY_MS / known.count().max(1) as f64
@@ -78,7 +78,7 @@
 
     /// Returns the instance to which the KV cache of a run at `instance` is to be copied.
     pub(super) fn backup_for(&self, request: &Request, instance: &str) -> Option<String> {
-        if !request.repeat.is_stream() {
+        if !request.retry_policy.is_stream() {
             return None;
         }
         let engine = self.config.as_ref()?.service(&request.service)?.engine.as_ref()?;
@@ -88,8 +88,8 @@
         let eligible = self.pool.endpoints.values().filter(|endpoint| {
             endpoint.member.instance != instance
                 && self.eligible(endpoint, request)
-                && !endpoint.dark(self.now)
-                && !endpoint.life.suspect(self.now)
+                && !endpoint.side_silent(self.now)
+                && !endpoint.liveness.maybe_stalled(self.now)
                 && !endpoint.avoided(self.now)
         });
         let runs = self.service_runs(&request.service);
@@ -114,7 +114,7 @@
         // The caller has just received an event, or at least the head.
         request.idle_deadline = request.deadline.min(now + request.idle_timeout);
         if let Some(endpoint) = self.pool.endpoints.get_mut(&instance) {
-            endpoint.note(true);
+            endpoint.record_result(true);
         }
         if !self.resume_from_copy(id) && !self.resume_anywhere(id) {
             self.cut(id, Reason::Broken);
@@ -135,7 +135,7 @@
         let resumable = request.last_event.is_some() && request.dispatches < MAX_DISPATCHES;
         let Some(backup) = request.backup.clone().filter(|_| resumable) else { return false };
         let last = request.instance.as_ref().and_then(|instance| self.pool.endpoints.get(instance));
-        let stalled = last.is_some_and(|endpoint| endpoint.life.silent(self.now));
+        let stalled = last.is_some_and(|endpoint| endpoint.liveness.is_stalled(self.now));
         if stalled || !self.has_live_copy(request) || !self.charge_retry(id) {
             return false;
         }
@@ -149,8 +149,8 @@
         let backup = request.backup.as_ref().and_then(|backup| self.pool.endpoints.get(backup));
         let live = |endpoint: &Endpoint| {
             endpoint.member.service == request.service
-                && endpoint.open()
-                && endpoint.moves(self.now)
+                && endpoint.accepts_requests()
+                && endpoint.is_responsive(self.now)
         };
         backup.is_some_and(live)
     }
@@ -161,7 +161,7 @@
         let now = self.now;
         let Some(request) = self.requests.get(&id) else { return false };
         let (retry_charged, service) = (request.retry_charged, request.service.clone());
-        let retry_charged = retry_charged || self.budget(&service).take(now);
+        let retry_charged = retry_charged || self.budget(&service).try_take(now);
         if let Some(request) = self.requests.get_mut(&id) {
             request.retry_charged = retry_charged;
         }
@@ -172,7 +172,7 @@
     /// resumed.
     fn resume_anywhere(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let allowed = request.repeat == Repeat::ResumableStream
+        let allowed = request.retry_policy == RetryPolicy::ResumableStream
             && request.runs < request.max_attempts
             && request.dispatches < MAX_DISPATCHES;
         if !allowed || !self.charge_retry(id) {
@@ -195,10 +195,10 @@
     pub(super) fn cut(&mut self, id: RequestId, reason: Reason) {
         if let Some(request) = self.requests.get(&id) {
             let event = LogEvent::new("cut").with("id", &request.caller_id);
-            let event = event.with("reason", reason.word()).with("runs", request.runs);
+            let event = event.with("reason", reason.as_str()).with("runs", request.runs);
             self.log(event.with("tokens", request.tokens.prompt));
         }
-        self.effects.push(EntryEffect::Cut(id));
-        self.finish(id, false);
+        self.effects.push(EntryEffect::Abort(id));
+        self.response_ended(id, false);
     }
 }
--- a/crates/pool/src/entry/rules.rs
+++ b/crates/pool/src/entry/rules.rs
@@ -2,8 +2,8 @@
 
 use citronrill_base::hash_bytes;
 
-use super::types::{AnswerHead, Verdict};
-use crate::text::{Repeat, Route};
+use super::types::{ResponseHead, Verdict};
+use crate::config::{RetryPolicy, Route};
 
 /// Returns the service for a request. A hash of the request ID spreads requests over the shares.
 pub(super) fn pick_service<'a>(route: &'a Route, caller_id: &str) -> Option<&'a str> {
@@ -29,7 +29,7 @@
 /// longest of the three times that the platform specifies. `None` if the route does not declare
 /// enough to compute it.
 pub(super) fn idle_timeout_ms(route: &Route) -> Option<u64> {
-    let gaps = route.gap_ms.filter(|_| route.repeat.is_stream())? * IDLE_TIMEOUT_GAPS;
+    let gaps = route.gap_ms.filter(|_| route.retry_policy.is_stream())? * IDLE_TIMEOUT_GAPS;
     Some(gaps.max(route.target_ms * IDLE_TIMEOUT_TARGETS).max(IDLE_TIMEOUT_MIN_MS))
 }
 
@@ -38,14 +38,14 @@
 /// A success without the endpoint's signature, or one that names another request, is misdirected or
 /// corrupt and must not reach the caller. A failure of a request that may run again is retried on
 /// another endpoint. A refusal with the "not run" marker permits a retry for any kind of request.
-pub fn judge(head: AnswerHead, repeat: Repeat) -> Verdict {
+pub fn classify_response(head: ResponseHead, retry_policy: RetryPolicy) -> Verdict {
     let unsigned = head.success() && !head.signed;
-    let failed = head.status >= 500 && repeat.may_rerun();
-    if !head.foreign && (head.not_run || head.status == 421) {
+    let failed = head.status >= 500 && retry_policy.may_retry();
+    if !head.misdirected && (head.not_run || head.status == 421) {
         Verdict::NotRun
-    } else if head.foreign || unsigned || failed {
+    } else if head.misdirected || unsigned || failed {
         Verdict::Failed
     } else {
-        Verdict::Pass
+        Verdict::Forward
     }
 }
--- a/crates/pool/src/entry/silence.rs
+++ b/crates/pool/src/entry/stalls.rs
@@ -6,7 +6,7 @@
 use citronrill_decide::LogEvent;
 
 use super::{EntryEffect, MAX_DISPATCHES, PoolEntry, Request, RequestId, Stage};
-use crate::{endpoint::DARK_MS, text::Repeat};
+use crate::{config::RetryPolicy, endpoint::SIDE_SILENT_MS};
 
 /// Milliseconds between two deadline checks above which this process itself was paused. Messages
 /// that arrived meanwhile have not been read yet.
@@ -28,7 +28,7 @@
                 .as_ref()
                 .and_then(|instance| self.pool.endpoints.get_mut(instance));
             if let Some(endpoint) = endpoint {
-                endpoint.life.hear(self.now);
+                endpoint.liveness.record_traffic(self.now);
             }
         }
     }
@@ -38,7 +38,10 @@
         let paused = self.now.since(self.last_check);
         let limit = if self.requests.is_empty() { IDLE_PAUSE_MS } else { OWN_PAUSE_MS };
         if paused > limit {
-            self.pool.endpoints.values_mut().for_each(|endpoint| endpoint.life.excuse(paused));
+            self.pool
+                .endpoints
+                .values_mut()
+                .for_each(|endpoint| endpoint.liveness.exclude_pause(paused));
         }
     }
 
@@ -47,18 +50,18 @@
         let now = self.now;
         let mut events = Vec::new();
         for (instance, endpoint) in &mut self.pool.endpoints {
-            if endpoint.life.take_probe(endpoint.own > 0, now) {
+            if endpoint.liveness.take_probe(endpoint.own_requests > 0, now) {
                 self.effects.push(EntryEffect::Probe(endpoint.member.address));
             }
-            if let Some(silent) = endpoint.life.take_change(now) {
-                let event = if silent {
+            if let Some(stalled) = endpoint.liveness.take_stall_change(now) {
+                let event = if stalled {
                     LogEvent::new("stands_still")
                 } else {
                     LogEvent::new("moves_again")
                 };
                 let event = event.with("instance", instance);
-                let event = event.with("quiet_ms", endpoint.life.quiet_ms(now));
-                events.push(event.with("own", endpoint.own));
+                let event = event.with("quiet_ms", endpoint.liveness.quiet_ms(now));
+                events.push(event.with("own", endpoint.own_requests));
             }
         }
         events.into_iter().for_each(|event| self.log(event));
@@ -80,7 +83,7 @@
             }
             if responding {
                 self.log_failover(id, true);
-                self.effects.push(EntryEffect::Abandon(id));
+                self.effects.push(EntryEffect::Disconnect(id));
             } else {
                 self.fail_over(id);
             }
@@ -105,8 +108,8 @@
     fn is_stuck(&self, request: &Request) -> bool {
         let endpoint =
             request.instance.as_ref().and_then(|instance| self.pool.endpoints.get(instance));
-        let silent = endpoint.is_some_and(|endpoint| endpoint.life.silent(self.now));
-        silent
+        let stalled = endpoint.is_some_and(|endpoint| endpoint.liveness.is_stalled(self.now));
+        stalled
             && request.stage != Stage::Waiting
             && !request.retry_charged
             && request.dispatches < MAX_DISPATCHES
@@ -115,8 +118,10 @@
     /// Returns whether a request may be retried, and another endpoint has room for it.
     fn may_retry(&self, request: &Request) -> bool {
         let allowed = match request.stage {
-            Stage::Responding => request.repeat == Repeat::ResumableStream && request.has_progress,
-            Stage::Sent => request.repeat.may_rerun(),
+            Stage::Responding => {
+                request.retry_policy == RetryPolicy::ResumableStream && request.has_progress
+            }
+            Stage::Sent => request.retry_policy.may_retry(),
             Stage::Waiting => false,
         };
         allowed && request.runs + 1 < request.max_attempts && self.has_room_elsewhere(request)
@@ -127,7 +132,7 @@
         self.pool.endpoints.values().any(|endpoint| {
             Some(&endpoint.member.instance) != request.instance.as_ref()
                 && self.eligible(endpoint, request)
-                && endpoint.fill() < 1.0
+                && endpoint.load_ratio() < 1.0
         })
     }
 
@@ -138,12 +143,13 @@
     pub(super) fn holder_paused(&self, request: &Request) -> bool {
         let Some(base) = request.base else { return false };
         let mut endpoints = self.pool.endpoints.values().filter(|endpoint| {
-            endpoint.open()
+            endpoint.accepts_requests()
                 && endpoint.member.service == request.service
-                && endpoint.holding.models.contains(&base)
+                && endpoint.inventory.models.contains(&base)
         });
         endpoints.any(|endpoint| {
-            endpoint.life.silent(self.now) && endpoint.life.quiet_ms(self.now) < DARK_MS
+            endpoint.liveness.is_stalled(self.now)
+                && endpoint.liveness.quiet_ms(self.now) < SIDE_SILENT_MS
         })
     }
 }
--- a/crates/pool/src/entry/store_limit.rs
+++ b/crates/pool/src/entry/store_limit.rs
@@ -2,7 +2,7 @@
 
 use citronrill_base::{Map, Millis};
 
-use crate::text::LATE_LOAD;
+use crate::config::LATE_LOAD_MILLI;
 
 /// Initial limit.
 const INITIAL_LIMIT: u32 = 3;
@@ -52,7 +52,7 @@
         }
         self.last_slowdown.insert(instance.to_owned(), slowdown);
         let slowed_recently = self.slowed_at.is_some_and(|at| now.since(at) < SLOW_HOLD_MS);
-        if slowdown >= LATE_LOAD {
+        if slowdown >= LATE_LOAD_MILLI {
             self.lower(slowdown, loads, now);
         } else if loads >= self.limit && !slowed_recently {
             self.limit = (self.limit * 2).min(MAX_LIMIT);
@@ -61,7 +61,7 @@
 
     /// Records how late an active load is that started as one of `loads`.
     pub(super) fn record_late(&mut self, slowdown: u32, loads: u32, now: Millis) {
-        if slowdown >= LATE_LOAD {
+        if slowdown >= LATE_LOAD_MILLI {
             self.lower(slowdown, loads, now);
         }
     }
--- a/crates/pool/src/entry/weights.rs
+++ b/crates/pool/src/entry/store_loads.rs
@@ -83,9 +83,10 @@
     /// Returns whether no endpoint has a model's weights cached, or has the model loaded and room.
     pub(super) fn only_in_store(&self, model: ModelKey) -> bool {
         let available = |endpoint: &Endpoint| {
-            endpoint.open()
-                && (endpoint.holding.has_copy(model)
-                    || endpoint.holding.models.contains(&model) && endpoint.fill() < CROWDED_FILL)
+            endpoint.accepts_requests()
+                && (endpoint.inventory.has_cached_weights(model)
+                    || endpoint.inventory.models.contains(&model)
+                        && endpoint.load_ratio() < CROWDED_FILL)
         };
         !self.pool.endpoints.values().any(available)
     }
--- a/crates/pool/src/entry/clock.rs
+++ b/crates/pool/src/entry/timers.rs
@@ -29,7 +29,7 @@
         self.check_deadlines();
         self.refuse_long_waits();
         self.expire_load_requests();
-        let listed = self.pool.settle_starts(&mut self.names, self.now);
+        let listed = self.pool.apply_deferred(&mut self.names, self.now);
         self.handle_membership(listed);
         self.schedule_waiting();
         self.add_replicas();
@@ -45,8 +45,8 @@
                 Stage::Waiting if runs == 0 => self.refuse(id, Reason::Expired),
                 Stage::Waiting | Stage::Sent => self.refuse(id, Reason::TimedOut),
                 Stage::Responding => {
-                    self.effects.push(EntryEffect::Cut(id));
-                    self.finish(id, false);
+                    self.effects.push(EntryEffect::Abort(id));
+                    self.response_ended(id, false);
                 }
             }
         }
@@ -73,14 +73,14 @@
     /// An endpoint that hangs sends no responses, so its time to first byte can only be estimated
     /// from the requests that wait there.
     fn record_stalls(&mut self) {
-        self.pool.endpoints.values_mut().for_each(|endpoint| endpoint.stall = 0);
+        self.pool.endpoints.values_mut().for_each(|endpoint| endpoint.unanswered_ms = 0);
         for request in self.requests.values().filter(|request| request.stage == Stage::Sent) {
             let endpoint = request
                 .instance
                 .as_ref()
                 .and_then(|instance| self.pool.endpoints.get_mut(instance));
             if let Some(endpoint) = endpoint {
-                endpoint.stall = endpoint.stall.max(self.now.since(request.sent));
+                endpoint.unanswered_ms = endpoint.unanswered_ms.max(self.now.since(request.sent));
             }
         }
     }
@@ -94,7 +94,7 @@
         let unanswered = self.requests.iter().filter(|(_, request)| {
             let limit_ms = (UNANSWERED_TARGETS * request.target_ms).max(UNANSWERED_MIN_MS);
             request.stage == Stage::Sent
-                && request.repeat.may_rerun()
+                && request.retry_policy.may_retry()
                 && request.runs + 1 < request.max_attempts
                 && self.now.since(request.sent) > limit_ms
         });
@@ -115,8 +115,8 @@
         request.stage = Stage::Waiting;
         if let Some(instance) = request.instance.take() {
             if let Some(endpoint) = self.pool.endpoints.get_mut(&instance) {
-                endpoint.note(true);
-                endpoint.note_lag(now.since(request.sent), now);
+                endpoint.record_result(true);
+                endpoint.record_ttfb(now.since(request.sent), now);
             }
             request.tried.push(instance);
         }
--- a/crates/pool/src/entry/types.rs
+++ b/crates/pool/src/entry/types.rs
@@ -5,7 +5,7 @@
 use citronrill_decide::LogEvent;
 use citronrill_wire::{LoadRequest, ModelName, SideState, UsageReport};
 
-use crate::{member::MemberChange, text::ServingText};
+use crate::{config::ServingConfig, member::MemberChange};
 
 /// Identifies a request within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
     /// The ID assigned by this process.
     pub id: RequestId,
     /// The ID assigned by the caller, for logs.
-    pub caller: String,
+    pub caller_id: String,
     /// The requested host.
     pub host: String,
     /// The path, without the query.
@@ -42,7 +42,7 @@
     /// The model, and an adapter after a slash; empty for a plain service.
     pub model: String,
     /// A hash of the most widely shared part of the prompt; 0 if there is none.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// Length in tokens, as declared by the caller.
     pub tokens: TokenCount,
 }
@@ -58,7 +58,7 @@
 
 /// Head of an endpoint's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The HTTP status.
     pub status: u16,
     /// Whether the endpoint states that the request has not run.
@@ -66,14 +66,14 @@
     /// Whether the response carries the endpoint's signature.
     pub signed: bool,
     /// Whether the response names another request, or none although one was required.
-    pub foreign: bool,
+    pub misdirected: bool,
     /// Whether another incarnation of an endpoint answered than the intended one.
-    pub elsewhere: bool,
+    pub other_incarnation: bool,
     /// Requests that run and wait there, if reported.
     pub load: Option<u32>,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Returns whether the status means that the request was served.
     pub fn success(&self) -> bool {
         (200..300).contains(&self.status)
@@ -84,7 +84,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureKind {
     /// No connection was made: the request has not run.
-    Unreached,
+    Unreachable,
     /// The connection broke after bytes may have been sent: the request may run.
     Broken,
 }
@@ -102,46 +102,46 @@
 #[derive(Debug, Clone)]
 pub enum EntryEvent {
     /// A configuration was received from the platform store or a peer.
-    Text(Arc<ServingText>),
+    Config(Arc<ServingConfig>),
     /// Whether the platform store has confirmed that the active configuration is the newest.
-    TextCurrent(bool),
+    ConfigCurrent(bool),
     /// The member list has changed.
     Members(MemberChange),
     /// A side reported its state; the address is its endpoint's.
-    Side(SocketAddr, SideState),
+    SideReport(SocketAddr, SideState),
     /// The side of the endpoint at this address replied to a probe.
-    Alive(SocketAddr),
+    ProbeReply(SocketAddr),
     /// The connection to the side of the endpoint at this address was lost.
     SideLost(SocketAddr, SideLoss),
     /// The side of the endpoint at this address declined a load request.
-    Declined(SocketAddr, ModelName),
+    LoadDeclined(SocketAddr, ModelName),
     /// A request was received.
-    Arrive(Arrival),
+    RequestArrived(Arrival),
     /// An endpoint started to respond to the dispatch with this number.
-    Answer(RequestId, u32, AnswerHead),
+    ResponseHead(RequestId, u32, ResponseHead),
     /// The dispatch with this number failed before a response.
-    Fail(RequestId, u32, FailureKind),
+    DispatchFailed(RequestId, u32, FailureKind),
     /// The responses of these requests have made progress.
     Progress(Vec<RequestId>),
     /// The response has ended; whether it was complete.
-    Finish(RequestId, bool),
+    ResponseEnded(RequestId, bool),
     /// The endpoint broke off a stream; carries the last event delivered to the caller, if any.
-    Broke(RequestId, Option<u64>),
+    StreamBroken(RequestId, Option<u64>),
     /// The caller has disconnected.
-    Leave(RequestId),
+    CallerLeft(RequestId),
     /// A planned stop has begun: no request waits for longer than the first number of milliseconds
     /// from now, and none is without a response after the second.
     Stop(u64, u64),
     /// A timer has fired while other events were being processed: only urgent deadlines are
     /// checked.
-    Look,
+    UrgentTick,
     /// A timer has fired.
     Tick,
 }
 
 /// One dispatch of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sending {
+pub struct Dispatch {
     /// Number of the dispatch within the request, from 1.
     pub number: u32,
     /// Address of the endpoint.
@@ -162,7 +162,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Resume {
     /// The last event delivered to the caller; `None` if there was none.
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
     /// Whether the endpoint has a copy of the run's KV cache; it must then resume from the copy or
     /// not run at all.
     pub copy: bool,
@@ -172,19 +172,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     /// No configuration is known yet.
-    NoText,
+    NoConfig,
     /// No route matches.
     NoRoute,
     /// The service does not have the model.
     NoModel,
     /// No route or model matches, but the configuration may be out of date.
-    OldText,
+    StaleConfig,
     /// No endpoint can run it.
     NoEndpoint,
     /// Every endpoint that could run it is full.
     Full,
     /// The model cannot be ready in time.
-    TooFar,
+    TooLate,
     /// Its deadline has passed and it has not run.
     Expired,
     /// The entry is stopping, and it has not run.
@@ -197,15 +197,15 @@
 
 impl Reason {
     /// Returns the fixed name for logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Reason::NoText => "no_text",
+            Reason::NoConfig => "no_text",
             Reason::NoRoute => "no_route",
             Reason::NoModel => "no_model",
-            Reason::OldText => "old_text",
+            Reason::StaleConfig => "old_text",
             Reason::NoEndpoint => "no_endpoint",
             Reason::Full => "full",
-            Reason::TooFar => "too_far",
+            Reason::TooLate => "too_far",
             Reason::Expired => "expired",
             Reason::Stopping => "stopping",
             Reason::TimedOut => "timed_out",
@@ -219,11 +219,11 @@
     pub fn status(self) -> u16 {
         match self {
             Reason::NoRoute | Reason::NoModel => 404,
-            Reason::NoText
-            | Reason::OldText
+            Reason::NoConfig
+            | Reason::StaleConfig
             | Reason::NoEndpoint
             | Reason::Full
-            | Reason::TooFar
+            | Reason::TooLate
             | Reason::Stopping
             | Reason::Expired => 503,
             Reason::TimedOut => 504,
@@ -245,23 +245,23 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryEffect {
     /// Dispatch the request.
-    Send(RequestId, Sending),
+    Dispatch(RequestId, Dispatch),
     /// Forward the endpoint's response to the caller.
-    Pass(RequestId),
+    Forward(RequestId),
     /// Refuse the request with a response of the entry's own.
     Refuse(RequestId, Refusal),
     /// Cut off a response that is being forwarded and cannot be completed.
-    Cut(RequestId),
+    Abort(RequestId),
     /// Disconnect from the responding endpoint, as if it had broken off the stream.
-    Abandon(RequestId),
+    Disconnect(RequestId),
     /// Send a liveness probe to the side of the endpoint at this address.
     Probe(SocketAddr),
     /// Send a load request to the side of the endpoint at this address.
-    Want(SocketAddr, LoadRequest),
+    LoadRequest(SocketAddr, LoadRequest),
     /// Report the use or miss of a model to the side of the endpoint at this address.
-    Used(SocketAddr, UsageReport),
+    ReportUsage(SocketAddr, UsageReport),
     /// Keep connections to the sides of these endpoints, and to no others.
-    Sides(Vec<SocketAddr>),
+    ConnectSides(Vec<SocketAddr>),
     /// Write a log line.
     Log(LogEvent),
 }
@@ -270,7 +270,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// Forward it to the caller.
-    Pass,
+    Forward,
     /// The request has not run: it may be retried whatever its kind.
     NotRun,
     /// The request has run and failed, or may have.
--- a/crates/pool/src/liveness.rs
+++ b/crates/pool/src/liveness.rs
@@ -31,25 +31,25 @@
 
 impl Liveness {
     /// Records any traffic from the instance.
-    pub(crate) fn hear(&mut self, now: Millis) {
+    pub(crate) fn record_traffic(&mut self, now: Millis) {
         self.last_traffic = now;
         self.probed_at = None;
     }
 
     /// Records that the connection to its side is established.
-    pub(crate) fn link(&mut self) {
+    pub(crate) fn mark_connected(&mut self) {
         self.connected = true;
     }
 
     /// Records that the peer has closed the connection to its side: the process has ended, so the
     /// instance responds.
-    pub(crate) fn unlink(&mut self) {
+    pub(crate) fn mark_disconnected(&mut self) {
         self.connected = false;
         self.probed_at = None;
     }
 
     /// Records that the connection to its side was abandoned after a long silence.
-    pub(crate) fn lose(&mut self, now: Millis) {
+    pub(crate) fn mark_lost(&mut self, now: Millis) {
         if self.quiet_ms(now) >= STALLED_MS {
             self.probed_at.get_or_insert(Millis(now.0.saturating_sub(STALLED_MS)));
         }
@@ -68,7 +68,7 @@
     }
 
     /// Excludes `paused` milliseconds in which this process itself was stalled.
-    pub(crate) fn excuse(&mut self, paused: u64) {
+    pub(crate) fn exclude_pause(&mut self, paused: u64) {
         self.probed_at = self.probed_at.map(|at| at + paused);
     }
 
@@ -78,18 +78,18 @@
     }
 
     /// Returns whether it may be stalled.
-    pub(crate) fn suspect(&self, now: Millis) -> bool {
+    pub(crate) fn maybe_stalled(&self, now: Millis) -> bool {
         self.unanswered(now, SUSPECT_MS)
     }
 
     /// Returns whether it counts as stalled.
-    pub(crate) fn silent(&self, now: Millis) -> bool {
+    pub(crate) fn is_stalled(&self, now: Millis) -> bool {
         self.unanswered(now, STALLED_MS)
     }
 
     /// Returns the new state if it has changed between stalled and responsive since the last call.
-    pub(crate) fn take_change(&mut self, now: Millis) -> Option<bool> {
-        let stalled = self.silent(now);
+    pub(crate) fn take_stall_change(&mut self, now: Millis) -> Option<bool> {
+        let stalled = self.is_stalled(now);
         (std::mem::replace(&mut self.reported_stalled, stalled) != stalled).then_some(stalled)
     }
 
--- a/crates/pool/src/member.rs
+++ b/crates/pool/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::start::StartTime;
+use crate::incarnation::StartTime;
 
 /// One endpoint as the member list describes it.
 #[derive(Debug, Clone, PartialEq)]
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct MemberChange {
     /// Whether `rows` is the complete list, so that endpoints not in it are gone.
-    pub whole: bool,
+    pub complete: bool,
     /// The list's version after the change.
     pub version: u64,
     /// Instances by name; `None` if the instance is gone.
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -7,33 +7,33 @@
 
 use crate::{
     endpoint::{Endpoint, ModelInventory, SideView},
+    incarnation::{IncarnationChange, OLDER_START_DELAY_MS, StartTime},
     member::{Member, MemberChange},
-    start::{IncarnationChange, OLDER_START_DELAY_MS, StartTime},
 };
 
 /// Result of applying a side's report.
 #[derive(Debug)]
 pub(crate) struct ReportOutcome {
     /// The incarnation that has ended, if the side named another one.
-    pub(crate) over: Option<String>,
+    pub(crate) ended: Option<String>,
     /// Whether the endpoint has restarted under the same name.
-    pub(crate) anew: bool,
+    pub(crate) restarted: bool,
 }
 
 /// Result of applying a change of the member list.
 #[derive(Debug, Default)]
-pub(crate) struct Listed {
+pub(crate) struct ListOutcome {
     /// Whether the set of usable endpoints has changed.
-    pub(crate) moved: bool,
+    pub(crate) usable_changed: bool,
     /// Endpoints that have restarted under the same name.
-    pub(crate) anew: Vec<String>,
+    pub(crate) restarted: Vec<String>,
     /// Endpoints whose list entry was deferred because it belongs to an incarnation that has
     /// presumably ended.
-    pub(crate) older: Vec<String>,
+    pub(crate) deferred: Vec<String>,
     /// Services of endpoints that have started to leave, or have disappeared without announcing it.
     pub(crate) departed: Vec<String>,
     /// List entries of services that the configuration does not name, with the services.
-    pub(crate) strangers: Vec<(String, String)>,
+    pub(crate) unserved: Vec<(String, String)>,
 }
 
 /// The endpoints by instance name.
@@ -47,7 +47,7 @@
     services: Option<Set<String>>,
     /// List entries of services that the configuration does not name.
     unserved: Map<String, Member>,
-    pub(crate) version: u64,
+    pub(crate) list_version: u64,
 }
 
 impl Pool {
@@ -57,29 +57,29 @@
         change: MemberChange,
         names: &mut Interner<ModelKey>,
         now: Millis,
-    ) -> Listed {
-        let mut listed = Listed::default();
+    ) -> ListOutcome {
+        let mut listed = ListOutcome::default();
         // A list that was read earlier can arrive later; it must not bring back endpoints that have
         // left.
-        if change.version < self.version {
+        if change.version < self.list_version {
             return listed;
         }
-        self.version = change.version;
-        if change.whole {
+        self.list_version = change.version;
+        if change.complete {
             self.drop_unlisted(&change.rows, now, &mut listed);
         }
         for (id, member) in change.rows {
             match member {
                 Some(member) if self.is_served(&member.service) => {
                     self.unserved.remove(&id);
-                    self.upsert(member, change.whole, names, now, &mut listed);
+                    self.upsert(member, change.complete, names, now, &mut listed);
                 }
                 member => {
                     self.ended.remove(&id);
                     self.remove_unlisted(&id, &mut listed);
                     self.unserved.remove(&id);
                     if let Some(member) = member {
-                        listed.strangers.push((id.clone(), member.service.clone()));
+                        listed.unserved.push((id.clone(), member.service.clone()));
                         self.unserved.insert(id, member);
                     }
                 }
@@ -93,7 +93,7 @@
         &mut self,
         rows: &[(String, Option<Member>)],
         now: Millis,
-        changes: &mut Listed,
+        changes: &mut ListOutcome,
     ) {
         let listed = |id: &String| rows.iter().any(|(row, _)| row == id);
         self.ended.retain(listed);
@@ -107,12 +107,12 @@
     }
 
     /// Removes an endpoint that is no longer listed.
-    fn remove_unlisted(&mut self, id: &str, listed: &mut Listed) {
+    fn remove_unlisted(&mut self, id: &str, listed: &mut ListOutcome) {
         let Some(endpoint) = self.endpoints.get(id) else { return };
-        if endpoint.open() {
+        if endpoint.accepts_requests() {
             listed.departed.push(endpoint.member.service.clone());
         }
-        listed.moved = true;
+        listed.usable_changed = true;
         self.remove(id);
     }
 
@@ -127,13 +127,13 @@
     /// Guards against another writer's list entry that names a service which is not served, and the
     /// address of an endpoint that is served. If it were taken for a new endpoint at that address,
     /// it would replace the one that serves.
-    pub(crate) fn serve(
+    pub(crate) fn set_services(
         &mut self,
         services: Set<String>,
         names: &mut Interner<ModelKey>,
         now: Millis,
-    ) -> Listed {
-        let mut listed = Listed::default();
+    ) -> ListOutcome {
+        let mut listed = ListOutcome::default();
         let unserved = self
             .endpoints
             .iter()
@@ -145,8 +145,8 @@
         self.services = Some(services);
         for (id, member) in unserved {
             self.remove(&id);
-            listed.moved = true;
-            listed.strangers.push((id.clone(), member.service.clone()));
+            listed.usable_changed = true;
+            listed.unserved.push((id.clone(), member.service.clone()));
             self.unserved.insert(id, member);
         }
         for member in served {
@@ -179,10 +179,10 @@
     fn upsert(
         &mut self,
         member: Member,
-        whole: bool,
+        complete: bool,
         names: &mut Interner<ModelKey>,
         now: Millis,
-        listed: &mut Listed,
+        listed: &mut ListOutcome,
     ) {
         let id = member.instance.clone();
         if self.ended.contains(&id) {
@@ -195,7 +195,7 @@
         // An endpoint that crashed stays listed for some heartbeats beside its next incarnation.
         // Only one can be at the address, and it is the one that was listed last.
         let previous = self.by_address.get(&member.address).filter(|held| **held != id).cloned();
-        if let Some(previous) = previous.filter(|_| !known && !whole) {
+        if let Some(previous) = previous.filter(|_| !known && !complete) {
             self.endpoints.remove(&previous);
         }
         let old_address = self.endpoints.get(&id).map(|endpoint| endpoint.member.address);
@@ -212,10 +212,10 @@
         // that still names a model that is being evicted would attract requests that are then
         // refused.
         if endpoint.fresh_side(now).is_none() {
-            endpoint.holding = ModelInventory::from_member(&member, names);
+            endpoint.inventory = ModelInventory::from_member(&member, names);
         }
-        listed.moved |= !known || endpoint.member.leaving != member.leaving;
-        if known && endpoint.open() && member.leaving {
+        listed.usable_changed |= !known || endpoint.member.leaving != member.leaving;
+        if known && endpoint.accepts_requests() && member.leaving {
             listed.departed.push(member.service.clone());
         }
         endpoint.member = member;
@@ -228,22 +228,22 @@
     /// A leaving endpoint is accepted as leaving immediately unless its side reports otherwise:
     /// dispatching requests to it after that would violate the guarantee given to leaving
     /// endpoints, while avoiding it for one heartbeat costs little.
-    fn apply_start_time(&mut self, member: &Member, now: Millis, listed: &mut Listed) -> bool {
+    fn apply_start_time(&mut self, member: &Member, now: Millis, listed: &mut ListOutcome) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&member.instance) else { return true };
         match endpoint.incarnation.update(member.started, now) {
             IncarnationChange::Same => {}
             IncarnationChange::New => {
                 endpoint.reset_for_restart(now);
-                listed.anew.push(member.instance.clone());
+                listed.restarted.push(member.instance.clone());
             }
             IncarnationChange::Older => {
                 let since = endpoint.deferred.as_ref().map_or(now, |(_, since)| *since);
                 if member.leaving && endpoint.fresh_side(now).is_none() {
-                    listed.moved |= !endpoint.member.leaving;
+                    listed.usable_changed |= !endpoint.member.leaving;
                     endpoint.member.leaving = true;
                 }
                 endpoint.deferred = Some((member.clone(), since));
-                listed.older.push(member.instance.clone());
+                listed.deferred.push(member.instance.clone());
                 return false;
             }
         }
@@ -253,8 +253,12 @@
 
     /// Applies deferred entries of older incarnations that nothing has contradicted for
     /// [`OLDER_START_DELAY_MS`].
-    pub(crate) fn settle_starts(&mut self, names: &mut Interner<ModelKey>, now: Millis) -> Listed {
-        let mut listed = Listed::default();
+    pub(crate) fn apply_deferred(
+        &mut self,
+        names: &mut Interner<ModelKey>,
+        now: Millis,
+    ) -> ListOutcome {
+        let mut listed = ListOutcome::default();
         let settled = self.endpoints.values_mut().filter_map(|endpoint| {
             endpoint.deferred.take_if(|(_, since)| now.since(*since) >= OLDER_START_DELAY_MS)
         });
@@ -265,38 +269,38 @@
     }
 
     /// Returns the endpoint that was last listed at `address`.
-    pub(crate) fn at(&mut self, address: SocketAddr) -> Option<&mut Endpoint> {
+    pub(crate) fn endpoint_at(&mut self, address: SocketAddr) -> Option<&mut Endpoint> {
         let id = self.by_address.get(&address)?;
         self.endpoints.get_mut(id)
     }
 
     /// Applies a side's report to the endpoint at `address`.
-    pub(crate) fn hear(
+    pub(crate) fn apply_report(
         &mut self,
         address: SocketAddr,
         state: &SideState,
         names: &mut Interner<ModelKey>,
         now: Millis,
     ) -> Option<ReportOutcome> {
-        let over = self.supersede(address, state, now);
-        let endpoint = self.at(address)?;
+        let ended = self.supersede(address, state, now);
+        let endpoint = self.endpoint_at(address)?;
         let change = endpoint.incarnation.update(state.started.map(StartTime), now);
         if change == IncarnationChange::Older {
             return None;
         }
-        let anew = change == IncarnationChange::New;
-        if anew {
+        let restarted = change == IncarnationChange::New;
+        if restarted {
             endpoint.reset_for_restart(now);
         }
         // The side queries the endpoint itself: a list entry for another incarnation is out of
         // date.
         endpoint.deferred = endpoint.deferred.take().filter(|_| state.started.is_none());
         if state.healthy {
-            endpoint.holding = ModelInventory::from_state(state, names);
+            endpoint.inventory = ModelInventory::from_state(state, names);
         }
-        endpoint.life.link();
-        endpoint.life.hear(now);
-        endpoint.take_load(state.active + state.queued);
+        endpoint.liveness.mark_connected();
+        endpoint.liveness.record_traffic(now);
+        endpoint.set_load(state.active + state.queued);
         let rates = state
             .models
             .iter()
@@ -309,10 +313,10 @@
         let pinned = state.models.iter().filter(|model| model.pinned);
         let pinned = pinned.map(|model| names.intern(&model.name)).collect();
         endpoint.side = Some(SideView {
-            at: now,
+            received_at: now,
             loading: state.loading.iter().map(|name| names.intern(name)).collect(),
             evicting: state.evicting.iter().map(|name| names.intern(name)).collect(),
-            entries: state.entries,
+            entry_count: state.entries,
             healthy: state.healthy,
             load_eta_ms: state.load_eta_ms,
             order_eta_ms: state.order_eta_ms,
@@ -324,7 +328,7 @@
             pinned,
             rates,
         });
-        Some(ReportOutcome { over, anew })
+        Some(ReportOutcome { ended, restarted })
     }
 
     /// Registers the incarnation that the side names at `address`; returns the one that has ended.
--- a/crates/pool/src/side/missed.rs
+++ b/crates/pool/src/side/missed.rs
@@ -3,7 +3,7 @@
 use citronrill_base::{Map, Millis};
 use citronrill_wire::ModelRate;
 
-use crate::tally::Tally;
+use crate::decaying_count::DecayingCount;
 
 /// Milliseconds after which a request counts 1/e: distinguishes a model that has no replica for ten
 /// seconds from one that two callers happened to request in the same second.
@@ -20,7 +20,7 @@
 /// which of several models to load first from the weight store. All entries therefore report their
 /// misses of one model to the same side.
 #[derive(Debug, Default)]
-pub(super) struct MissRates(Map<String, Tally>);
+pub(super) struct MissRates(Map<String, DecayingCount>);
 
 impl MissRates {
     /// Counts one missed request.
@@ -39,6 +39,6 @@
     }
 }
 
-fn milli_per_s(tally: &Tally, now: Millis) -> u32 {
-    (tally.decayed(DECAY_MS, now) * 1_000_000.0 / DECAY_MS) as u32
+fn milli_per_s(count: &DecayingCount, now: Millis) -> u32 {
+    (count.decayed(DECAY_MS, now) * 1_000_000.0 / DECAY_MS) as u32
 }
--- a/crates/pool/src/side/mod.rs
+++ b/crates/pool/src/side/mod.rs
@@ -5,11 +5,11 @@
 //! has accepted. An order that is delayed and arrives after another was accepted, or after a
 //! restart, has no effect.
 
+mod incarnation_name;
 mod missed;
 mod orders;
 mod plan;
 mod report;
-mod start_name;
 mod types;
 
 use std::{collections::VecDeque, sync::Arc};
@@ -22,15 +22,15 @@
     EngineReport, EntryLink, Order, OrderKind, OrderOutcome, SideEffect, SideEvent,
 };
 use self::{
+    incarnation_name::IncarnationName,
     missed::MissRates,
     report::{holds, order_result, same_except_load},
-    start_name::IncarnationName,
 };
 use crate::{
+    config::{EngineSpec, LATE_LOAD_MILLI, ServingConfig},
+    incarnation::{IncarnationChange, KnownIncarnation},
     member::full_name,
     rate::Rate,
-    start::{IncarnationChange, KnownIncarnation},
-    text::{EngineSpec, LATE_LOAD, ServingText},
 };
 
 /// Milliseconds between polls of the endpoint while an order is in progress: a load takes 440 or
@@ -85,7 +85,7 @@
 pub struct PoolSide {
     service: String,
     now: Millis,
-    config: Option<Arc<ServingText>>,
+    config: Option<Arc<ServingConfig>>,
     report: Option<EngineReport>,
     reported_at: Millis,
     /// When the last poll began, and whether its reply is outstanding.
@@ -145,7 +145,7 @@
     }
 
     /// Returns the version of the known configuration, or 0 if there is none.
-    pub fn text_version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.version)
     }
 
@@ -153,18 +153,18 @@
     pub fn step(&mut self, now: Millis, event: SideEvent) -> Vec<SideEffect> {
         self.now = now;
         match event {
-            SideEvent::Text(config) => self.set_config(config),
+            SideEvent::Config(config) => self.set_config(config),
             SideEvent::Report(report) => self.handle_report(report),
-            SideEvent::Want(link, request) => self.handle_load_request(link, request),
-            SideEvent::Used(report) => self.record_usage(&report),
-            SideEvent::Ordered(number, outcome, instance) => {
+            SideEvent::LoadRequest(link, request) => self.handle_load_request(link, request),
+            SideEvent::Usage(report) => self.record_usage(&report),
+            SideEvent::OrderAnswered(number, outcome, instance) => {
                 self.handle_outcome(number, outcome);
                 if let Some(instance) = instance {
                     self.set_name(&instance);
                 }
             }
-            SideEvent::Named(instance) => self.set_name(&instance),
-            SideEvent::Entries(count) => self.entries = count,
+            SideEvent::NameReported(instance) => self.set_name(&instance),
+            SideEvent::EntryCount(count) => self.entries = count,
             SideEvent::Tick => {}
         }
         self.issue_orders();
@@ -174,8 +174,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    fn set_config(&mut self, config: Arc<ServingText>) {
-        if config.version > self.text_version() {
+    fn set_config(&mut self, config: Arc<ServingConfig>) {
+        if config.version > self.config_version() {
             self.log(LogEvent::new("text").with("version", config.version));
             self.config = Some(config);
         }
@@ -346,15 +346,15 @@
     fn query_name(&mut self) {
         let reachable = self.report.is_some() && self.now.since(self.reported_at) <= IDLE_POLL_MS;
         let service = self.config.as_ref().and_then(|config| config.service(&self.service));
-        let path = service.map(|service| service.health.clone());
+        let path = service.map(|service| service.health_path.clone());
         let Some(path) = path.filter(|path| reachable && !path.is_empty()) else { return };
         if self.incarnation_name.take_query(self.now) {
-            self.effects.push(SideEffect::Identify(path));
+            self.effects.push(SideEffect::QueryName(path));
         }
     }
 
     fn poll(&mut self) {
-        let wait = self.wake_ms();
+        let wait = self.tick_interval_ms();
         // Counted from the start of the last poll, not from its reply: an endpoint that is down
         // refuses immediately and would be polled thousands of times a second.
         let due = self.polled_at.is_none_or(|at| self.now.since(at) >= wait);
@@ -367,7 +367,7 @@
     }
 
     /// Returns the milliseconds after which the next [`SideEvent::Tick`] is due.
-    pub fn wake_ms(&self) -> u64 {
+    pub fn tick_interval_ms(&self) -> u64 {
         let busy = self.model_order.is_some() || !self.plan.is_empty();
         if busy || self.adapter_order.is_some() { BUSY_POLL_MS } else { IDLE_POLL_MS }
     }
@@ -418,7 +418,7 @@
             order_eta_ms: self.order_eta_ms(report),
             store_loads: self.store_loads(report),
             store_slowdown: self.store_slowdown,
-            config_version: self.text_version(),
+            config_version: self.config_version(),
             instance: self.incarnation_name.known().unwrap_or_default().to_owned(),
             service: self.service.clone(),
             started: self.incarnation.start_time().map(|start| start.0),
@@ -455,7 +455,7 @@
             return 0;
         };
         let slow = self.slowness(issued);
-        if slow < LATE_LOAD { 0 } else { slow - slow % OVERDUE_STEP }
+        if slow < LATE_LOAD_MILLI { 0 } else { slow - slow % OVERDUE_STEP }
     }
 
     /// Returns the duration so far of a load from the weight store, in thousandths of its usual
@@ -493,7 +493,7 @@
         let from_store = self.plan.iter().map(|planned| &planned.request).filter(|request| {
             request.adapter.is_empty()
                 && !holds(report, &request.model, "")
-                && !report.has_copy(&request.model)
+                && !report.has_cached_weights(&request.model)
         });
         from_store.count() as u32
     }
--- a/crates/pool/src/side/orders.rs
+++ b/crates/pool/src/side/orders.rs
@@ -9,7 +9,7 @@
     UNHEALTHY_MS,
     report::{holds, used_mb},
 };
-use crate::{member::full_name, text::EngineSpec};
+use crate::{config::EngineSpec, member::full_name};
 
 /// Milliseconds between publishing an eviction and unloading the model: entries receive it and stop
 /// dispatching, otherwise requests in flight to the endpoint would be refused there.
@@ -106,7 +106,9 @@
             self.plan.retain(|other| other.request != *request);
             return;
         }
-        if report.has_copy(&request.model) || self.take_store_permit(request.engine_count, engine) {
+        if report.has_cached_weights(&request.model)
+            || self.take_store_permit(request.engine_count, engine)
+        {
             self.issue(OrderKind::Load, &request.model, "", request, report);
         }
     }
@@ -187,7 +189,8 @@
                 .with("sequence", report.sequence)
                 .with("age_ms", self.now.since(self.reported_at)),
         );
-        let from_store = kind == OrderKind::Load && adapter.is_empty() && !report.has_copy(model);
+        let from_store =
+            kind == OrderKind::Load && adapter.is_empty() && !report.has_cached_weights(model);
         let concurrent = request.store_loads;
         let issued = Some(IssuedOrder {
             order: order.clone(),
--- a/crates/pool/src/side/report.rs
+++ b/crates/pool/src/side/report.rs
@@ -4,7 +4,7 @@
 use citronrill_wire::SideState;
 
 use super::{BUSY_POLL_MS, EngineReport, IssuedOrder, OrderKind};
-use crate::{member::full_name, text::EngineSpec};
+use crate::{config::EngineSpec, member::full_name};
 
 /// Milliseconds that an unload may wait for running requests: longer than the timeout of any route.
 const UNLOAD_TIMEOUT_MS: u64 = 16_000;
--- a/crates/pool/src/side/types.rs
+++ b/crates/pool/src/side/types.rs
@@ -5,7 +5,7 @@
 use citronrill_decide::LogEvent;
 use citronrill_wire::{LoadRequest, ModelName, SideState, UsageReport};
 
-use crate::{member::HeldModel, start::StartTime, text::ServingText};
+use crate::{config::ServingConfig, incarnation::StartTime, member::HeldModel};
 
 /// State that the endpoint reports.
 #[derive(Debug, Clone, PartialEq, Default)]
@@ -34,7 +34,7 @@
 
 impl EngineReport {
     /// Returns whether the instance has cached weights of a model, in memory or on disk.
-    pub(crate) fn has_copy(&self, model: &str) -> bool {
+    pub(crate) fn has_cached_weights(&self, model: &str) -> bool {
         let copies = self.in_memory.iter().chain(&self.on_disk);
         copies.into_iter().any(|name| name == model)
     }
@@ -95,20 +95,20 @@
 #[derive(Debug, Clone)]
 pub enum SideEvent {
     /// A configuration was received from an entry.
-    Text(Arc<ServingText>),
+    Config(Arc<ServingConfig>),
     /// The endpoint reported its state; `None` if it did not answer.
     Report(Option<EngineReport>),
     /// An entry requests a model or adapter.
-    Want(EntryLink, LoadRequest),
+    LoadRequest(EntryLink, LoadRequest),
     /// An entry has dispatched a request to the endpoint, or found no replica with room for it.
-    Used(UsageReport),
+    Usage(UsageReport),
     /// The endpoint answered an order; with its name if the order was meant for another
     /// incarnation.
-    Ordered(u64, OrderOutcome, Option<String>),
+    OrderAnswered(u64, OrderOutcome, Option<String>),
     /// The endpoint reported the name of its current incarnation.
-    Named(String),
+    NameReported(String),
     /// The number of connected entries has changed to this.
-    Entries(u32),
+    EntryCount(u32),
     /// Time has passed.
     Tick,
 }
@@ -119,7 +119,7 @@
     /// Ask the endpoint for its state.
     Poll,
     /// Ask the endpoint for the name of its current incarnation, on this path.
-    Identify(String),
+    QueryName(String),
     /// Send an order to the endpoint.
     Order(Order),
     /// Send the state to all entries.
--- a/crates/pool/src/follow.rs
+++ b/crates/pool/src/table_follower.rs
@@ -24,9 +24,9 @@
 
 /// Queries to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreAsk {
+pub enum StoreQuery {
     /// The whole table, page by page.
-    Whole,
+    Table,
     /// The changes after a version. The store holds the call for up to `hold_ms` if there are none.
     Changes {
         /// The version up to which everything is known.
@@ -40,27 +40,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreCall {
     /// The query.
-    pub ask: StoreAsk,
+    pub query: StoreQuery,
     /// Milliseconds within which the answer has to begin.
-    pub limit_ms: u64,
+    pub timeout_ms: u64,
 }
 
 /// Parameters for reading one table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FollowProfile {
+pub struct FollowerProfile {
     /// Distinguishes processes.
     pub seed: u64,
     /// Milliseconds after an outage of the store, or of the connection to it, within which all
     /// changes are known.
     pub recover_ms: u64,
     /// Milliseconds from an answer to the next call; 0 if the store is to hold calls instead.
-    pub pace_ms: u64,
+    pub poll_pause_ms: u64,
 }
 
 /// State of reading one table.
 #[derive(Debug)]
-pub struct Follow {
-    profile: FollowProfile,
+pub struct TableFollower {
+    profile: FollowerProfile,
     /// The version up to which everything is known; `None` if the whole table is to be read.
     known_version: Option<u64>,
     /// Whether the last call failed.
@@ -73,10 +73,10 @@
     calls: u64,
 }
 
-impl Follow {
+impl TableFollower {
     /// Creates the state before the first call.
-    pub fn new(profile: FollowProfile) -> Follow {
-        Follow {
+    pub fn new(profile: FollowerProfile) -> TableFollower {
+        TableFollower {
             profile,
             known_version: None,
             last_failed: false,
@@ -90,11 +90,11 @@
     pub fn call(&mut self) -> StoreCall {
         self.calls += 1;
         let Some(after) = self.known_version else {
-            return StoreCall { ask: StoreAsk::Whole, limit_ms: 2 * self.answer_timeout_ms };
+            return StoreCall { query: StoreQuery::Table, timeout_ms: 2 * self.answer_timeout_ms };
         };
         self.held_ms = if self.may_hold() { self.hold_ms() } else { 0 };
-        let ask = StoreAsk::Changes { after, hold_ms: self.held_ms };
-        StoreCall { ask, limit_ms: self.held_ms + self.answer_timeout_ms }
+        let query = StoreQuery::Changes { after, hold_ms: self.held_ms };
+        StoreCall { query, timeout_ms: self.held_ms + self.answer_timeout_ms }
     }
 
     /// Records that the call was answered after `waited_ms`, and that everything up to `version` is
@@ -104,7 +104,7 @@
         self.answer_timeout_ms = (2 * took_ms).clamp(MIN_ANSWER_MS, self.max_timeout_ms());
         self.last_failed = false;
         self.known_version = self.known_version.max(Some(version));
-        self.profile.pace_ms
+        self.profile.poll_pause_ms
     }
 
     /// Records that the store no longer has the changes after the known version, so that the whole
@@ -135,7 +135,7 @@
     /// noticed late, so none is held during an outage, nor where the next call would follow soon
     /// anyway.
     fn may_hold(&self) -> bool {
-        !self.last_failed && self.profile.pace_ms == 0
+        !self.last_failed && self.profile.poll_pause_ms == 0
     }
 
     /// Returns for how long the store may hold a call.
--- a/crates/pool/tests/all/budget.rs
+++ b/crates/pool/tests/all/budget.rs
@@ -11,8 +11,8 @@
     budget.set_slack(3.0);
     let mut taken = Vec::new();
     for at in (0..60_000).step_by(50) {
-        budget.first(Millis(at));
-        if budget.take(Millis(at)) {
+        budget.record_first(Millis(at));
+        if budget.try_take(Millis(at)) {
             taken.push(at);
         }
     }
@@ -29,8 +29,8 @@
 fn slack_allows_a_retry_without_traffic() {
     let mut budget = RetryBudget::new(0.2, 10_000);
     budget.set_slack(1.0);
-    budget.first(Millis(0));
-    assert!(budget.take(Millis(1)));
-    assert!(!budget.take(Millis(2)), "the slack allows one retry in the window");
-    assert!(budget.take(Millis(10_002)));
+    budget.record_first(Millis(0));
+    assert!(budget.try_take(Millis(1)));
+    assert!(!budget.try_take(Millis(2)), "the slack allows one retry in the window");
+    assert!(budget.try_take(Millis(10_002)));
 }
--- a/crates/pool/tests/all/copies.rs
+++ b/crates/pool/tests/all/config_transfer.rs
@@ -7,7 +7,9 @@
 };
 
 use citronrill_base::Millis;
-use citronrill_pool::{CopyEffect, CopyEvent, CopyFetch, CopyPatience, CopyServer, EntryLink};
+use citronrill_pool::{
+    ConfigFetch, ConfigFetchEffect, ConfigFetchEvent, ConfigServer, ConfigSources, EntryLink,
+};
 use citronrill_wire::{ConfigChunk, ConfigChunkRequest, EncodedConfig};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rstest::rstest;
@@ -15,8 +17,8 @@
 const A: EntryLink = EntryLink(1);
 const B: EntryLink = EntryLink(2);
 
-type Fetch = CopyFetch<EntryLink>;
-type Effect = CopyEffect<EntryLink>;
+type Fetch = ConfigFetch<EntryLink>;
+type Effect = ConfigFetchEffect<EntryLink>;
 
 fn encoded_config(version: u64, size: usize) -> EncodedConfig {
     let bytes = (0..size).map(|index| (index * 7 + version as usize) as u8).collect();
@@ -25,19 +27,19 @@
 
 /// Returns the answer of a peer that serves nobody else.
 fn chunk(encoded_config: &EncodedConfig, request: &ConfigChunkRequest) -> ConfigChunk {
-    CopyServer::default().answer(Millis(0), A, request, Some(encoded_config))
+    ConfigServer::default().answer(Millis(0), A, request, Some(encoded_config))
 }
 
 /// An entry with a configuration of version 1.
 fn entry() -> Fetch {
-    let mut fetch = CopyFetch::new(CopyPatience::OwnRead, 5);
-    fetch.step(Millis(0), CopyEvent::Own(1));
+    let mut fetch = ConfigFetch::new(ConfigSources::StoreFirst, 5);
+    fetch.step(Millis(0), ConfigFetchEvent::OwnVersion(1));
     fetch
 }
 
 fn requested(effects: &[Effect]) -> Option<(EntryLink, ConfigChunkRequest)> {
     effects.iter().find_map(|effect| match effect {
-        CopyEffect::Ask(peer, request) => Some((*peer, request.clone())),
+        ConfigFetchEffect::RequestChunk(peer, request) => Some((*peer, request.clone())),
         _ => None,
     })
 }
@@ -45,10 +47,10 @@
 /// Lets peer A offer version 2 and advances to the first chunk request; returns it, its peer and
 /// the time.
 fn first_request(fetch: &mut Fetch) -> (EntryLink, ConfigChunkRequest, Millis) {
-    let offered = fetch.step(Millis(0), CopyEvent::Offered(A, 2));
+    let offered = fetch.step(Millis(0), ConfigFetchEvent::Offered(A, 2));
     assert_eq!(requested(&offered), None);
-    let at = fetch.wake().unwrap();
-    let (peer, request) = requested(&fetch.step(at, CopyEvent::Tick)).unwrap();
+    let at = fetch.next_tick().unwrap();
+    let (peer, request) = requested(&fetch.step(at, ConfigFetchEvent::Tick)).unwrap();
     (peer, request, at)
 }
 
@@ -58,13 +60,13 @@
 #[test]
 fn entry_that_reads_the_store_sends_no_request() {
     let mut fetch = entry();
-    fetch.step(Millis(0), CopyEvent::Offered(A, 2));
+    fetch.step(Millis(0), ConfigFetchEvent::Offered(A, 2));
     for at in (0..1_000).step_by(50) {
-        assert_eq!(fetch.step(Millis(at), CopyEvent::Progress), Vec::new());
-        assert_eq!(fetch.step(Millis(at + 25), CopyEvent::Offered(B, 2)), Vec::new());
+        assert_eq!(fetch.step(Millis(at), ConfigFetchEvent::StoreProgress), Vec::new());
+        assert_eq!(fetch.step(Millis(at + 25), ConfigFetchEvent::Offered(B, 2)), Vec::new());
     }
-    fetch.step(Millis(1_000), CopyEvent::Own(2));
-    assert_eq!(fetch.wake(), None);
+    fetch.step(Millis(1_000), ConfigFetchEvent::OwnVersion(2));
+    assert_eq!(fetch.next_tick(), None);
 }
 
 /// The platform store stops responding in the middle of the configuration. The entry asks one side,
@@ -72,13 +74,13 @@
 #[test]
 fn entry_asks_one_side_when_the_store_stops_responding() {
     let mut fetch = entry();
-    fetch.step(Millis(0), CopyEvent::Offered(A, 2));
-    fetch.step(Millis(0), CopyEvent::Offered(B, 2));
-    fetch.step(Millis(300), CopyEvent::Progress);
-    assert_eq!(fetch.step(Millis(690), CopyEvent::Tick), Vec::new());
-    assert_eq!(fetch.wake(), Some(Millis(700)));
-    assert_eq!(fetch.step(Millis(700), CopyEvent::Tick).len(), 1);
-    assert_eq!(fetch.step(Millis(900), CopyEvent::Offered(B, 2)), Vec::new());
+    fetch.step(Millis(0), ConfigFetchEvent::Offered(A, 2));
+    fetch.step(Millis(0), ConfigFetchEvent::Offered(B, 2));
+    fetch.step(Millis(300), ConfigFetchEvent::StoreProgress);
+    assert_eq!(fetch.step(Millis(690), ConfigFetchEvent::Tick), Vec::new());
+    assert_eq!(fetch.next_tick(), Some(Millis(700)));
+    assert_eq!(fetch.step(Millis(700), ConfigFetchEvent::Tick).len(), 1);
+    assert_eq!(fetch.step(Millis(900), ConfigFetchEvent::Offered(B, 2)), Vec::new());
 }
 
 /// A side stalls after a chunk. The rest is requested from another one at the same offset; a late
@@ -88,24 +90,24 @@
     let config = encoded_config(2, 40_000);
     let mut fetch = entry();
     let (first, request, at) = first_request(&mut fetch);
-    fetch.step(at, CopyEvent::Offered(B, 2));
+    fetch.step(at, ConfigFetchEvent::Offered(B, 2));
     let late = chunk(&config, &request);
-    let next = fetch.step(at, CopyEvent::Part(first, late.clone()));
+    let next = fetch.step(at, ConfigFetchEvent::Chunk(first, late.clone()));
     assert_eq!(requested(&next).unwrap().1.offset, late.bytes.len() as u64);
 
-    let effects = fetch.step(fetch.wake().unwrap(), CopyEvent::Tick);
-    assert!(matches!(effects[0], CopyEffect::Silent(peer, _) if peer == first));
+    let effects = fetch.step(fetch.next_tick().unwrap(), ConfigFetchEvent::Tick);
+    assert!(matches!(effects[0], ConfigFetchEffect::TimedOut(peer, _) if peer == first));
     let (second, mut request) = requested(&effects).unwrap();
     assert_eq!((second, request.offset), (B, late.bytes.len() as u64));
-    assert_eq!(fetch.step(at, CopyEvent::Part(first, late)), Vec::new());
+    assert_eq!(fetch.step(at, ConfigFetchEvent::Chunk(first, late)), Vec::new());
     let complete = loop {
-        let effects = fetch.step(at, CopyEvent::Part(B, chunk(&config, &request)));
+        let effects = fetch.step(at, ConfigFetchEvent::Chunk(B, chunk(&config, &request)));
         match requested(&effects) {
             Some((_, next)) => request = next,
             None => break effects,
         }
     };
-    assert_eq!(complete, vec![CopyEffect::Whole(B, config)]);
+    assert_eq!(complete, vec![ConfigFetchEffect::Complete(B, config)]);
 }
 
 /// A peer has a newer configuration than it offered. The chunks of the older one are dropped, and
@@ -115,13 +117,13 @@
     let (older, newer) = (encoded_config(2, 40_000), encoded_config(3, 20_000));
     let mut fetch = entry();
     let (peer, request, at) = first_request(&mut fetch);
-    let effects = fetch.step(at, CopyEvent::Part(peer, chunk(&older, &request)));
+    let effects = fetch.step(at, ConfigFetchEvent::Chunk(peer, chunk(&older, &request)));
     let (_, request) = requested(&effects).unwrap();
-    let effects = fetch.step(at, CopyEvent::Part(peer, chunk(&newer, &request)));
+    let effects = fetch.step(at, ConfigFetchEvent::Chunk(peer, chunk(&newer, &request)));
     let (_, request) = requested(&effects).unwrap();
     assert_eq!(request.version, 3);
-    let effects = fetch.step(at, CopyEvent::Part(peer, chunk(&newer, &request)));
-    assert_eq!(effects, vec![CopyEffect::Whole(peer, newer)]);
+    let effects = fetch.step(at, ConfigFetchEvent::Chunk(peer, chunk(&newer, &request)));
+    assert_eq!(effects, vec![ConfigFetchEffect::Complete(peer, newer)]);
 }
 
 /// A configuration is corrupted in transfer and cannot be decoded, so the entry still lacks it. It
@@ -131,13 +133,17 @@
     let config = encoded_config(2, 100);
     let mut fetch = entry();
     let (peer, request, at) = first_request(&mut fetch);
-    let effects = fetch.step(at, CopyEvent::Part(peer, chunk(&config, &request)));
-    assert_eq!(effects, vec![CopyEffect::Whole(peer, config)]);
-    assert!(fetch.wake().unwrap() > at + 1_000);
-    assert_eq!(fetch.step(at + 1, CopyEvent::Offered(B, 2)), Vec::new(), "it may still be decoded");
-    let later = fetch.wake().unwrap();
+    let effects = fetch.step(at, ConfigFetchEvent::Chunk(peer, chunk(&config, &request)));
+    assert_eq!(effects, vec![ConfigFetchEffect::Complete(peer, config)]);
+    assert!(fetch.next_tick().unwrap() > at + 1_000);
+    assert_eq!(
+        fetch.step(at + 1, ConfigFetchEvent::Offered(B, 2)),
+        Vec::new(),
+        "it may still be decoded"
+    );
+    let later = fetch.next_tick().unwrap();
     assert!(later < at + 1_000);
-    assert_eq!(requested(&fetch.step(later, CopyEvent::Tick)).unwrap().0, B);
+    assert_eq!(requested(&fetch.step(later, ConfigFetchEvent::Tick)).unwrap().0, B);
 }
 
 /// The entry reads a configuration from the platform store while it requests it from a side, which
@@ -148,15 +154,15 @@
     let (known, newer) = (encoded_config(2, 100), encoded_config(3, 100));
     let mut fetch = entry();
     let (peer, request, at) = first_request(&mut fetch);
-    assert_eq!(fetch.step(at, CopyEvent::Offered(peer, 3)), Vec::new());
-    fetch.step(at, CopyEvent::Own(2));
-    fetch.step(at, CopyEvent::Part(peer, chunk(&known, &request)));
-    let later = fetch.wake().unwrap();
+    assert_eq!(fetch.step(at, ConfigFetchEvent::Offered(peer, 3)), Vec::new());
+    fetch.step(at, ConfigFetchEvent::OwnVersion(2));
+    fetch.step(at, ConfigFetchEvent::Chunk(peer, chunk(&known, &request)));
+    let later = fetch.next_tick().unwrap();
     assert_eq!(later, at + 400);
-    let (second, request) = requested(&fetch.step(later, CopyEvent::Tick)).unwrap();
+    let (second, request) = requested(&fetch.step(later, ConfigFetchEvent::Tick)).unwrap();
     assert_eq!((second, request.version), (peer, 3));
-    let effects = fetch.step(later, CopyEvent::Part(peer, chunk(&newer, &request)));
-    assert_eq!(effects, vec![CopyEffect::Whole(peer, newer)]);
+    let effects = fetch.step(later, ConfigFetchEvent::Chunk(peer, chunk(&newer, &request)));
+    assert_eq!(effects, vec![ConfigFetchEffect::Complete(peer, newer)]);
 }
 
 /// The only side with the configuration is serving others. It is asked again after a pause, not at
@@ -165,10 +171,10 @@
 fn busy_peer_is_asked_again_after_a_pause() {
     let mut fetch = entry();
     let (peer, _, at) = first_request(&mut fetch);
-    assert_eq!(fetch.step(at, CopyEvent::Part(peer, ConfigChunk::default())), Vec::new());
-    let later = fetch.wake().unwrap();
+    assert_eq!(fetch.step(at, ConfigFetchEvent::Chunk(peer, ConfigChunk::default())), Vec::new());
+    let later = fetch.next_tick().unwrap();
     assert!(later > at + 50);
-    assert_eq!(requested(&fetch.step(later, CopyEvent::Tick)).unwrap().0, peer);
+    assert_eq!(requested(&fetch.step(later, ConfigFetchEvent::Tick)).unwrap().0, peer);
 }
 
 /// Invalid chunks: a wrong offset, an excessive total size, an older version.
@@ -179,8 +185,8 @@
 fn invalid_chunk_is_dropped(#[case] part: ConfigChunk) {
     let mut fetch = entry();
     let (peer, _, at) = first_request(&mut fetch);
-    assert_eq!(fetch.step(at, CopyEvent::Part(peer, part)), Vec::new());
-    assert!(fetch.wake().unwrap() > at + 1_000);
+    assert_eq!(fetch.step(at, ConfigFetchEvent::Chunk(peer, part)), Vec::new());
+    assert!(fetch.next_tick().unwrap() > at + 1_000);
 }
 
 /// Many sides send requests to one entry. Two are served, the others get a "busy" answer. A slot is
@@ -188,7 +194,7 @@
 #[test]
 fn process_serves_two_peers_at_a_time() {
     let config = encoded_config(2, 20_000);
-    let mut server = CopyServer::default();
+    let mut server = ConfigServer::default();
     let request = |offset| ConfigChunkRequest { version: 2, offset };
     let mut served = |at, peer, offset| {
         let part = server.answer(Millis(at), EntryLink(peer), &request(offset), Some(&config));
@@ -220,7 +226,7 @@
     config: EncodedConfig,
     rates: Vec<u64>,
     has_config: Vec<bool>,
-    servers: Vec<CopyServer<usize>>,
+    servers: Vec<ConfigServer<usize>>,
     /// When each entry's link has sent everything queued on it.
     free_at: Vec<u64>,
     /// The longest time a byte has waited for an entry's link.
@@ -242,14 +248,14 @@
             queue.push(Reverse((*at, NetworkEvent::ConfigReceived(entry))));
         }
         let side = |index: usize| {
-            let mut fetch = Fetch::new(CopyPatience::PeersOnly, index as u64 * 7_919);
-            fetch.step(Millis(0), CopyEvent::Own(old));
+            let mut fetch = Fetch::new(ConfigSources::PeersOnly, index as u64 * 7_919);
+            fetch.step(Millis(0), ConfigFetchEvent::OwnVersion(old));
             fetch
         };
         Network {
             config: encoded_config(2, size),
             has_config: vec![false; rates.len()],
-            servers: rates.iter().map(|_| CopyServer::default()).collect(),
+            servers: rates.iter().map(|_| ConfigServer::default()).collect(),
             free_at: vec![0; rates.len()],
             longest_wait: 0,
             sent: 0,
@@ -270,7 +276,7 @@
                     self.has_config[entry] = true;
                     let link = EntryLink(entry as u64);
                     for side in 0..self.sides.len() {
-                        self.side(now, side, CopyEvent::Offered(link, 2));
+                        self.side(now, side, ConfigFetchEvent::Offered(link, 2));
                     }
                 }
                 NetworkEvent::RequestReceived(side, entry, request) => {
@@ -283,9 +289,9 @@
                     } else {
                         chunk(&self.config, &request)
                     };
-                    self.side(now, side, CopyEvent::Part(EntryLink(entry as u64), part));
+                    self.side(now, side, ConfigFetchEvent::Chunk(EntryLink(entry as u64), part));
                 }
-                NetworkEvent::Tick(side) => self.side(now, side, CopyEvent::Tick),
+                NetworkEvent::Tick(side) => self.side(now, side, ConfigFetchEvent::Tick),
             }
         }
         self.received_at.iter().flatten().copied().max().unwrap()
@@ -307,10 +313,10 @@
         )));
     }
 
-    fn side(&mut self, now: u64, side: usize, event: CopyEvent<EntryLink>) {
+    fn side(&mut self, now: u64, side: usize, event: ConfigFetchEvent<EntryLink>) {
         for effect in self.sides[side].step(Millis(now), event) {
             match effect {
-                CopyEffect::Ask(EntryLink(entry), request) => {
+                ConfigFetchEffect::RequestChunk(EntryLink(entry), request) => {
                     let received = NetworkEvent::RequestReceived(
                         side,
                         entry as usize,
@@ -318,15 +324,15 @@
                     );
                     self.queue.push(Reverse((now + DELAY, received)));
                 }
-                CopyEffect::Whole(_, complete) => {
+                ConfigFetchEffect::Complete(_, complete) => {
                     assert_eq!(complete, self.config);
                     self.received_at[side] = Some(now);
-                    self.sides[side].step(Millis(now), CopyEvent::Own(2));
+                    self.sides[side].step(Millis(now), ConfigFetchEvent::OwnVersion(2));
                 }
-                CopyEffect::Silent(entry, _) => panic!("{entry} was considered silent"),
+                ConfigFetchEffect::TimedOut(entry, _) => panic!("{entry} was considered silent"),
             }
         }
-        if let Some(at) = self.sides[side].wake() {
+        if let Some(at) = self.sides[side].next_tick() {
             self.queue.push(Reverse((at.0.max(now + 1), NetworkEvent::Tick(side))));
         }
     }
@@ -369,9 +375,9 @@
 #[rstest]
 fn random_peers(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
-    let patience =
-        if seed.is_multiple_of(2) { CopyPatience::OwnRead } else { CopyPatience::PeersOnly };
-    let mut fetch = Fetch::new(patience, seed);
+    let sources =
+        if seed.is_multiple_of(2) { ConfigSources::StoreFirst } else { ConfigSources::PeersOnly };
+    let mut fetch = Fetch::new(sources, seed);
     let (mut now, mut own) = (0, 0);
     let mut offers = BTreeMap::<EntryLink, u64>::new();
     let mut open = None::<(EntryLink, ConfigChunkRequest)>;
@@ -379,21 +385,22 @@
         now += random.random_range(0..300);
         let peer = EntryLink(random.random_range(0..4));
         let event = match random.random_range(0..8) {
-            0 => CopyEvent::Own(own.max(random.random_range(0..now / 2_000 + 1))),
-            1 => CopyEvent::Gone(peer),
-            2 => CopyEvent::Progress,
-            3 => CopyEvent::Offered(peer, random.random_range(0..now / 2_000 + 2)),
-            4 => CopyEvent::Tick,
-            _ => CopyEvent::Part(peer, random_part(&mut random, open.as_ref(), now / 2_000)),
+            0 => ConfigFetchEvent::OwnVersion(own.max(random.random_range(0..now / 2_000 + 1))),
+            1 => ConfigFetchEvent::Disconnected(peer),
+            2 => ConfigFetchEvent::StoreProgress,
+            3 => ConfigFetchEvent::Offered(peer, random.random_range(0..now / 2_000 + 2)),
+            4 => ConfigFetchEvent::Tick,
+            _ => {
+                ConfigFetchEvent::Chunk(peer, random_part(&mut random, open.as_ref(), now / 2_000))
+            }
         };
         match &event {
-            CopyEvent::Own(version) => own = own.max(*version),
-            CopyEvent::Offered(peer, version) => drop(offers.insert(*peer, *version)),
-            CopyEvent::Gone(peer) => drop(offers.remove(peer)),
+            ConfigFetchEvent::OwnVersion(version) => own = own.max(*version),
+            ConfigFetchEvent::Offered(peer, version) => drop(offers.insert(*peer, *version)),
+            ConfigFetchEvent::Disconnected(peer) => drop(offers.remove(peer)),
             _ => {}
         }
-        let answered =
-            matches!(&event, CopyEvent::Part(from, _) if Some(*from) == open.as_ref().map(|o| o.0));
+        let answered = matches!(&event, ConfigFetchEvent::Chunk(from, _) if Some(*from) == open.as_ref().map(|o| o.0));
         // A request ends once its peer has left, its version is known, or no peer has a newer one.
         let newer = offers.values().any(|version| *version > own);
         open = open.filter(|(to, request)| {
@@ -401,13 +408,15 @@
         });
         for effect in fetch.step(Millis(now), event) {
             match effect {
-                CopyEffect::Ask(peer, request) => {
+                ConfigFetchEffect::RequestChunk(peer, request) => {
                     assert_eq!(open, None, "two requests are open");
                     assert!(offers.contains_key(&peer) && request.version > own);
                     open = Some((peer, request));
                 }
-                CopyEffect::Whole(_, encoded_config) => assert!(encoded_config.version > own),
-                CopyEffect::Silent(..) => open = None,
+                ConfigFetchEffect::Complete(_, encoded_config) => {
+                    assert!(encoded_config.version > own)
+                }
+                ConfigFetchEffect::TimedOut(..) => open = None,
             }
         }
     }
--- a/crates/pool/tests/all/entry.rs
+++ b/crates/pool/tests/all/entry.rs
@@ -1,7 +1,9 @@
 //! Tests of the entry's state machine, each for one failure.
 
 use citronrill_pool::Verdict;
-use citronrill_pool::{AnswerHead, EntryEffect, EntryEvent, FailureKind, Reason, Repeat, judge};
+use citronrill_pool::{
+    EntryEffect, EntryEvent, FailureKind, Reason, ResponseHead, RetryPolicy, classify_response,
+};
 use rstest::rstest;
 
 use crate::support::{
@@ -16,7 +18,7 @@
     let mut bench = Bench::unconfigured();
     let (_, effects) = bench.request("/chat/x", "m0");
     let (reason, retry_ms) = refusal(&effects).unwrap();
-    assert_eq!((reason, reason.status()), (Reason::NoText, 503));
+    assert_eq!((reason, reason.status()), (Reason::NoConfig, 503));
     assert!(retry_ms.is_some());
 }
 
@@ -25,7 +27,7 @@
 #[test]
 fn entry_is_ready_once_it_has_configuration_and_member_list() {
     let mut bench = Bench::unconfigured();
-    bench.step(EntryEvent::Text(config(1)));
+    bench.step(EntryEvent::Config(config(1)));
     assert!(!bench.entry.ready());
     bench.set_members(1, vec![member(1, PLAIN, &[])]);
     assert!(bench.entry.ready());
@@ -45,15 +47,15 @@
 #[test]
 fn missing_routes_are_retryable_in_a_store_outage() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[])]);
-    bench.step(EntryEvent::TextCurrent(false));
+    bench.step(EntryEvent::ConfigCurrent(false));
     for (path, model) in [("/added/x", ""), ("/chat/x", "added")] {
         let (_, effects) = bench.request(path, model);
         let (reason, retry_ms) = refusal(&effects).unwrap();
-        assert_eq!((reason, reason.status()), (Reason::OldText, 503));
+        assert_eq!((reason, reason.status()), (Reason::StaleConfig, 503));
         assert!(retry_ms.is_some());
     }
     assert!(dispatch(&bench.request("/status/x", "").1).is_some());
-    bench.step(EntryEvent::TextCurrent(true));
+    bench.step(EntryEvent::ConfigCurrent(true));
     assert_eq!(refusal(&bench.request("/added/x", "").1).unwrap().0, Reason::NoRoute);
 }
 
@@ -61,9 +63,9 @@
 #[test]
 fn missing_routes_are_retryable_with_a_configuration_from_a_peer() {
     let mut bench = Bench::unconfigured();
-    bench.step(EntryEvent::Text(config(1)));
+    bench.step(EntryEvent::Config(config(1)));
     bench.set_members(1, vec![member(1, PLAIN, &[])]);
-    assert_eq!(refusal(&bench.request("/added/x", "").1).unwrap().0, Reason::OldText);
+    assert_eq!(refusal(&bench.request("/added/x", "").1).unwrap().0, Reason::StaleConfig);
 }
 
 /// An operator removes a route in version 2, and a peer that lags behind sends version 1. Requests
@@ -73,8 +75,8 @@
     let mut bench = Bench::new(vec![member(1, PLAIN, &[])]);
     let mut newer = (*config(2)).clone();
     newer.routes.retain(|route| route.prefix != "/status/");
-    bench.step(EntryEvent::Text(newer.into()));
-    bench.step(EntryEvent::Text(config(1)));
+    bench.step(EntryEvent::Config(newer.into()));
+    bench.step(EntryEvent::Config(config(1)));
     let (_, effects) = bench.request("/status/x", "");
     assert_eq!(refusal(&effects).unwrap().0, Reason::NoRoute);
 }
@@ -83,7 +85,7 @@
 #[test]
 fn the_longest_prefix_wins() {
     let mut config = (*config(2)).clone();
-    config.routes.push(route("/status/deep/", ENGINE, Repeat::Idempotent, 1));
+    config.routes.push(route("/status/deep/", ENGINE, RetryPolicy::Idempotent, 1));
     assert_eq!(config.route("pool.example", "/status/deep/x").unwrap().shares[0].0, ENGINE);
     assert_eq!(config.route("pool.example", "/status/x").unwrap().shares[0].0, PLAIN);
     assert!(config.route("other.example", "/status/x").is_none());
@@ -96,7 +98,7 @@
     let mut bench = Bench::new(vec![member(1, PLAIN, &[]), member(2, PLAIN, &[])]);
     let (id, effects) = bench.request("/book/x", "");
     assert!(dispatch(&effects).is_some());
-    let effects = bench.step(EntryEvent::Fail(id, 1, FailureKind::Broken));
+    let effects = bench.step(EntryEvent::DispatchFailed(id, 1, FailureKind::Broken));
     assert!(dispatch(&effects).is_none());
     let (reason, _) = refusal(&effects).unwrap();
     assert_eq!((reason, reason.status()), (Reason::Broken, 502));
@@ -118,34 +120,34 @@
 #[test]
 fn last_endpoint_error_is_forwarded() {
     let mut bench = Bench::new(vec![member(1, PLAIN, &[]), member(2, PLAIN, &[])]);
-    let failure = AnswerHead { status: 500, signed: true, ..AnswerHead::default() };
+    let failure = ResponseHead { status: 500, signed: true, ..ResponseHead::default() };
     let (id, _) = bench.request("/status/x", "");
     let effects = bench.respond(id, failure);
     assert!(dispatch(&effects).is_some(), "it may run again, at the other endpoint");
-    let effects = bench.step(EntryEvent::Answer(id, 2, failure));
+    let effects = bench.step(EntryEvent::ResponseHead(id, 2, failure));
     assert!(forwards(&effects));
 }
 
 /// A success without a signature, or a response to another request, counts as failed. "Not run"
 /// allows a retry of any request; an error allows one of requests that may run again.
 #[rstest]
-#[case(ok(), Repeat::Once, Verdict::Pass)]
-#[case(AnswerHead { signed: false, ..ok() }, Repeat::Once, Verdict::Failed)]
-#[case(AnswerHead { foreign: true, ..ok() }, Repeat::Idempotent, Verdict::Failed)]
-#[case(not_run(503), Repeat::Once, Verdict::NotRun)]
-#[case(not_run(421), Repeat::Stream, Verdict::NotRun)]
-#[case(AnswerHead { status: 500, signed: true, ..AnswerHead::default() }, Repeat::Once, Verdict::Pass)]
+#[case(ok(), RetryPolicy::Once, Verdict::Forward)]
+#[case(ResponseHead { signed: false, ..ok() }, RetryPolicy::Once, Verdict::Failed)]
+#[case(ResponseHead { misdirected: true, ..ok() }, RetryPolicy::Idempotent, Verdict::Failed)]
+#[case(not_run(503), RetryPolicy::Once, Verdict::NotRun)]
+#[case(not_run(421), RetryPolicy::Stream, Verdict::NotRun)]
+#[case(ResponseHead { status: 500, signed: true, ..ResponseHead::default() }, RetryPolicy::Once, Verdict::Forward)]
 #[case(
-    AnswerHead { status: 500, signed: true, ..AnswerHead::default() },
-    Repeat::Idempotent,
+    ResponseHead { status: 500, signed: true, ..ResponseHead::default() },
+    RetryPolicy::Idempotent,
     Verdict::Failed
 )]
 fn responses_are_classified(
-    #[case] head: AnswerHead,
-    #[case] repeat: Repeat,
+    #[case] head: ResponseHead,
+    #[case] retry_policy: RetryPolicy,
     #[case] expected: Verdict,
 ) {
-    assert_eq!(judge(head, repeat), expected);
+    assert_eq!(classify_response(head, retry_policy), expected);
 }
 
 /// An endpoint reports that it is leaving. New requests go to other endpoints from then on.
@@ -158,7 +160,7 @@
     for _ in 0..12 {
         let (id, effects) = bench.request("/book/x", "");
         assert_eq!(dispatch(&effects).unwrap().instance, "i2");
-        bench.step(EntryEvent::Finish(id, true));
+        bench.step(EntryEvent::ResponseEnded(id, true));
     }
 }
 
@@ -182,7 +184,7 @@
     let mut bench = Bench::new(vec![member(1, PLAIN, &[])]);
     let (id, _) = bench.request("/book/x", "");
     let mut head = not_run(421);
-    head.elsewhere = true;
+    head.other_incarnation = true;
     bench.respond(id, head);
     let (_, effects) = bench.request("/book/x", "");
     assert_eq!(refusal(&effects).unwrap().0, Reason::NoEndpoint);
@@ -196,7 +198,7 @@
     let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
     let mut bench = Bench::new(members);
     for index in [1, 2] {
-        bench.step(EntryEvent::Side(address(index), state(1, &["m0"])));
+        bench.step(EntryEvent::SideReport(address(index), state(1, &["m0"])));
     }
     let (id, effects) = bench.request("/chat/x", "m0");
     let first = dispatch(&effects).unwrap().instance.clone();
@@ -206,7 +208,7 @@
     assert_eq!(second.number, 2);
     let effects = bench.respond(id, ok());
     assert!(!forwards(&effects), "a response to the first attempt is ignored");
-    let effects = bench.step(EntryEvent::Answer(id, 2, ok()));
+    let effects = bench.step(EntryEvent::ResponseHead(id, 2, ok()));
     assert!(forwards(&effects));
 }
 
@@ -216,7 +218,7 @@
     let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
     let mut bench = Bench::new(members);
     for index in 1..=2 {
-        bench.step(EntryEvent::Side(address(index), state(1, &["m0"])));
+        bench.step(EntryEvent::SideReport(address(index), state(1, &["m0"])));
     }
     let (_, effects) = bench.request("/draft/x", "m0");
     assert!(dispatch(&effects).is_some());
@@ -240,7 +242,7 @@
 #[test]
 fn planned_stop_answers_all_requests() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
-    bench.step(EntryEvent::Side(address(1), state(1, &["m0"])));
+    bench.step(EntryEvent::SideReport(address(1), state(1, &["m0"])));
     bench.request("/draft/x", "m0");
     let (_, effects) = bench.request("/draft/x", "m5");
     assert!(dispatch(&effects).is_none());
@@ -261,9 +263,9 @@
     for _ in 0..40 {
         let (id, effects) = bench.request("/book/x", "");
         assert!(dispatch(&effects).is_some());
-        bench.step(EntryEvent::Leave(id));
+        bench.step(EntryEvent::CallerLeft(id));
     }
-    assert_eq!(bench.entry.in_hand(), 0);
+    assert_eq!(bench.entry.in_flight(), 0);
 }
 
 /// Every refusal is logged with the request's ID and the inputs of the decision.
--- a/crates/pool/tests/all/follow.rs
+++ b/crates/pool/tests/all/follow.rs
@@ -1,6 +1,6 @@
 //! Following a table of a store that stops responding and recovers.
 
-use citronrill_pool::{Follow, FollowProfile, StoreAsk};
+use citronrill_pool::{FollowerProfile, StoreQuery, TableFollower};
 use rstest::rstest;
 
 /// A store that answers no call from `down_at` to `up_at`, in milliseconds. Calls that are open or
@@ -13,18 +13,18 @@
 
 impl SilentStore {
     /// Milliseconds from the end of the outage to the first answer of a call made after it.
-    fn recovery_ms(&self, follow: &mut Follow) -> u64 {
+    fn recovery_ms(&self, follower: &mut TableFollower) -> u64 {
         let (mut now, mut version) = (0, 0);
         loop {
-            let call = follow.call();
-            let hold_ms = match call.ask {
-                StoreAsk::Changes { hold_ms, .. } if now < self.up_at => hold_ms,
+            let call = follower.call();
+            let hold_ms = match call.query {
+                StoreQuery::Changes { hold_ms, .. } if now < self.up_at => hold_ms,
                 _ => 0,
             };
             let answered = now + hold_ms + self.answer_ms;
             let call_lost = now < self.up_at && answered > self.down_at;
-            if call_lost || answered > now + call.limit_ms {
-                now += call.limit_ms + follow.failed(call.limit_ms);
+            if call_lost || answered > now + call.timeout_ms {
+                now += call.timeout_ms + follower.failed(call.timeout_ms);
                 continue;
             }
             if now >= self.up_at {
@@ -32,7 +32,7 @@
             }
             version += 1;
             let waited_ms = answered - now;
-            now = answered + follow.answered(version, waited_ms);
+            now = answered + follower.answered(version, waited_ms);
         }
     }
 }
@@ -48,8 +48,8 @@
     for down_at in (5_000..9_000).step_by(50) {
         for length in (50..12_000).step_by(50) {
             let store = SilentStore { down_at, up_at: down_at + length, answer_ms };
-            let profile = FollowProfile { seed: down_at + length, recover_ms, pace_ms: 0 };
-            let took = store.recovery_ms(&mut Follow::new(profile));
+            let profile = FollowerProfile { seed: down_at + length, recover_ms, poll_pause_ms: 0 };
+            let took = store.recovery_ms(&mut TableFollower::new(profile));
             assert!(
                 took <= recover_ms,
                 "{took} ms after {length} ms without answers from {down_at} ms on"
@@ -62,21 +62,21 @@
 /// every third call.
 #[test]
 fn timeout_grows_with_a_slow_store() {
-    let profile = FollowProfile { seed: 1, recover_ms: 3_000, pace_ms: 900 };
-    let mut follow = Follow::new(profile);
-    follow.answered(1, 5);
-    let failed = |follow: &mut Follow| {
-        let call = follow.call();
-        let late = call.limit_ms < 900;
+    let profile = FollowerProfile { seed: 1, recover_ms: 3_000, poll_pause_ms: 900 };
+    let mut follower = TableFollower::new(profile);
+    follower.answered(1, 5);
+    let failed = |follower: &mut TableFollower| {
+        let call = follower.call();
+        let late = call.timeout_ms < 900;
         if late {
-            follow.failed(call.limit_ms)
+            follower.failed(call.timeout_ms)
         } else {
-            follow.answered(2, 900)
+            follower.answered(2, 900)
         };
         late
     };
-    let failures = (0..20).filter(|_| failed(&mut follow)).count();
+    let failures = (0..20).filter(|_| failed(&mut follower)).count();
     assert_eq!(failures, 1);
-    follow.answered(3, 5);
-    assert_eq!(follow.call().limit_ms, 600);
+    follower.answered(3, 5);
+    assert_eq!(follower.call().timeout_ms, 600);
 }
--- a/crates/pool/tests/all/start.rs
+++ b/crates/pool/tests/all/incarnation.rs
@@ -40,7 +40,7 @@
     member: Option<Member>,
 ) -> Vec<EntryEffect> {
     let rows = vec![(name.to_owned(), member)];
-    bench.step(EntryEvent::Members(MemberChange { whole: false, version, rows }))
+    bench.step(EntryEvent::Members(MemberChange { complete: false, version, rows }))
 }
 
 fn dispatched_to(bench: &mut Bench, path: &str, model: &str) -> Option<String> {
@@ -51,9 +51,9 @@
 /// A side whose endpoint started at `at` and has `m0` loaded.
 fn side_of(at: u64, sequence: u64) -> SideBench {
     let mut bench = SideBench { side: PoolSide::new(ENGINE), now: 1_000 };
-    bench.step(SideEvent::Text(config(1)));
+    bench.step(SideEvent::Config(config(1)));
     bench.report(report_started(report(sequence, &["m0"]), at));
-    bench.step(SideEvent::Named("i1".to_owned()));
+    bench.step(SideEvent::NameReported("i1".to_owned()));
     bench
 }
 
@@ -120,14 +120,14 @@
 fn late_order_of_the_previous_incarnation_is_counted() {
     let mut side = side_of(FIRST, 0);
     let lost = order(&side.request_load(load_request("m5", &[]))).unwrap();
-    side.step(SideEvent::Ordered(lost.number, OrderOutcome::Unknown, None));
+    side.step(SideEvent::OrderAnswered(lost.number, OrderOutcome::Unknown, None));
     side.report(report_started(report(0, &[]), SECOND));
-    side.step(SideEvent::Named("i1".to_owned()));
+    side.step(SideEvent::NameReported("i1".to_owned()));
     let next =
         order(&side.request_load(LoadRequest { started: Some(SECOND), ..load_request("m6", &[]) }))
             .unwrap();
     assert!(next.token > lost.token, "{} after {}", next.token, lost.token);
-    side.step(SideEvent::Ordered(next.number, OrderOutcome::Conflict, None));
+    side.step(SideEvent::OrderAnswered(next.number, OrderOutcome::Conflict, None));
     let busy = EngineReport { busy: true, ..report_started(report(1, &[]), SECOND) };
     assert_eq!(order(&side.report(busy)), None, "the late order is in progress");
     let effects = side.report(report_started(report(1, &["m5"]), SECOND));
@@ -165,13 +165,13 @@
 #[test]
 fn restart_seen_in_the_list_discards_the_side_state() {
     let mut bench = Bench::new(vec![member_started(member(1, ENGINE, &["m0"]), FIRST)]);
-    bench.step(EntryEvent::Side(address(1), state_started(state(3, &["m0"]), FIRST)));
+    bench.step(EntryEvent::SideReport(address(1), state_started(state(3, &["m0"]), FIRST)));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m0"), Some("i1".to_owned()));
     update_row(&mut bench, 2, "i1", Some(member_started(member(1, ENGINE, &["m1"]), SECOND)));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m1"), Some("i1".to_owned()));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m0"), None);
     // The side has not polled again yet and still reports the previous incarnation.
-    bench.step(EntryEvent::Side(address(1), state_started(state(3, &["m0"]), FIRST)));
+    bench.step(EntryEvent::SideReport(address(1), state_started(state(3, &["m0"]), FIRST)));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m0"), None);
 }
 
@@ -181,10 +181,10 @@
 #[test]
 fn older_row_never_replaces_a_newer_incarnation() {
     let mut bench = Bench::new(vec![member_started(member(1, ENGINE, &["m0"]), FIRST)]);
-    bench.step(EntryEvent::Side(address(1), state_started(state(0, &["m1"]), SECOND)));
+    bench.step(EntryEvent::SideReport(address(1), state_started(state(0, &["m1"]), SECOND)));
     // Long enough for the side's report to be no longer recent.
     bench.advance(2_100);
-    bench.step(EntryEvent::Alive(address(1)));
+    bench.step(EntryEvent::ProbeReply(address(1)));
     update_row(&mut bench, 2, "i1", Some(member_started(member(1, ENGINE, &["m0"]), FIRST)));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m0"), None);
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m1"), Some("i1".to_owned()));
@@ -225,7 +225,7 @@
     for _ in 0..8 {
         let (id, effects) = bench.request("/book/x", "");
         if dispatch(&effects).unwrap().instance == "i1" {
-            bench.step(EntryEvent::Finish(id, false));
+            bench.step(EntryEvent::ResponseEnded(id, false));
         }
     }
     assert_eq!(dispatched_to(&mut bench, "/book/x", ""), Some("i2".to_owned()));
@@ -238,10 +238,11 @@
 #[test]
 fn load_request_is_repeated_after_a_restart() {
     let mut bench = Bench::new(vec![member_started(member(1, ENGINE, &["m0"]), FIRST)]);
-    bench.step(EntryEvent::Side(address(1), state_started(state(3, &["m0"]), FIRST)));
+    bench.step(EntryEvent::SideReport(address(1), state_started(state(3, &["m0"]), FIRST)));
     let (_, effects) = bench.request("/chat/x", "m5");
     assert_eq!(requested_load(&effects).unwrap().1.started, Some(FIRST));
-    let effects = bench.step(EntryEvent::Side(address(1), state_started(state(0, &[]), SECOND)));
+    let effects =
+        bench.step(EntryEvent::SideReport(address(1), state_started(state(0, &[]), SECOND)));
     let (_, load_request) = requested_load(&effects).unwrap();
     assert_eq!((load_request.model.as_str(), load_request.started), ("m5", Some(SECOND)));
 }
@@ -262,6 +263,6 @@
     // The same before any configuration is known.
     let mut bench = Bench::unconfigured();
     bench.set_members(1, vec![member(1, PLAIN, &[]), foreign]);
-    bench.step(EntryEvent::Text(config(1)));
+    bench.step(EntryEvent::Config(config(1)));
     assert_eq!(dispatched_to(&mut bench, "/book/x", ""), Some("i1".to_owned()));
 }
