--- a/crates/pool/tests/all/missed.rs
+++ b/crates/pool/tests/all/load_priority.rs
@@ -11,11 +11,11 @@
 /// State of a side that counted the given number of misses of each model over ten seconds.
 fn state_with_misses(missed: &[(&str, u32)]) -> SideState {
     let mut side = PoolSide::new(ENGINE);
-    side.step(Millis(0), SideEvent::Text(config(1)));
+    side.step(Millis(0), SideEvent::Config(config(1)));
     let step = |side: &mut PoolSide, ms: u64, model: &str| {
         let missed =
             UsageReport { model: model.to_owned(), missed: true, ..UsageReport::default() };
-        side.step(Millis(ms), SideEvent::Used(missed));
+        side.step(Millis(ms), SideEvent::Usage(missed));
     };
     for ms in (0..10_000).step_by(100) {
         for (model, count) in missed {
@@ -38,7 +38,7 @@
     for index in 1..=20 {
         let state = state_with_rates(&[("m0", 1)]);
         let missed = if index == 7 { missed.to_vec() } else { Vec::new() };
-        bench.step(EntryEvent::Side(address(index), SideState { missed, ..state }));
+        bench.step(EntryEvent::SideReport(address(index), SideState { missed, ..state }));
     }
 }
 
@@ -69,7 +69,7 @@
         store_loads: 1,
         ..state_with_rates(&[("m0", 1)])
     };
-    bench.step(EntryEvent::Side(address(3), late));
+    bench.step(EntryEvent::SideReport(address(3), late));
     let (_, mut effects) = bench.request_with_deadline("/draft/x", "m6", 3_000);
     effects.extend(bench.advance(100));
     assert!(
@@ -92,7 +92,7 @@
     let (_, mut effects) = bench.request_with_deadline("/draft/x", "m5", 3_000);
     effects.extend(bench.advance(100));
     let reports = effects.iter().filter_map(|effect| match effect {
-        EntryEffect::Used(_, used) if used.missed => Some(used.model.as_str()),
+        EntryEffect::ReportUsage(_, used) if used.missed => Some(used.model.as_str()),
         _ => None,
     });
     assert_eq!(reports.collect::<Vec<_>>(), vec!["m5"]);
@@ -112,7 +112,7 @@
             store_concurrent: 2,
             ..state_with_rates(&[("m0", 1)])
         };
-        bench.step(EntryEvent::Side(address(3), late));
+        bench.step(EntryEvent::SideReport(address(3), late));
         let mut effects = Vec::new();
         for _ in 0..60 {
             effects.extend(bench.request_with_deadline("/draft/x", "m5", 3_000).1);
@@ -137,13 +137,13 @@
         };
         let mut bench = bench_of_twenty();
         bench.entry = PoolEntry::new(profile);
-        bench.step(EntryEvent::Text(config(1)));
+        bench.step(EntryEvent::Config(config(1)));
         bench.set_members(1, (1..=20).map(|index| bare(index, &["m0"])).collect());
         let missed = vec![ModelRate { name: format!("m{}", 1 + index % 9), rate_milli: 900 }];
         for index in 1..=20 {
             let state = SideState { entries: 68, ..state_with_rates(&[("m0", 1)]) };
             let missed = if index == 7 { missed.clone() } else { Vec::new() };
-            bench.step(EntryEvent::Side(address(index), SideState { missed, ..state }));
+            bench.step(EntryEvent::SideReport(address(index), SideState { missed, ..state }));
         }
         bench.request_with_deadline("/draft/x", &format!("m{}", 1 + index % 9), 3_000);
         bench
--- a/crates/pool/tests/all/main.rs
+++ b/crates/pool/tests/all/main.rs
@@ -3,20 +3,20 @@
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
 mod budget;
-mod copies;
+mod config_transfer;
 mod entry;
 mod follow;
-mod load;
-mod missed;
+mod incarnation;
+mod load_priority;
+mod member_list;
 mod overload;
-mod pace;
 mod placement;
+mod preload;
 mod resume;
 mod side;
-mod standstill;
-mod start;
-mod stock;
+mod simulated_loads;
+mod simulation;
+mod stalls;
 mod support;
-mod unconfirmed;
+mod ticks;
 mod waiting;
-mod world;
--- a/crates/pool/tests/all/unconfirmed.rs
+++ b/crates/pool/tests/all/member_list.rs
@@ -15,7 +15,7 @@
     assert!(dispatch(&effects).is_none() && refusal(&effects).is_none());
     assert!(requested_load(&effects).is_none(), "it is not requested elsewhere either");
     let empty = SideState { instance: "i2".to_owned(), ..state(0, &[]) };
-    let effects = bench.step(EntryEvent::Side(address(1), empty));
+    let effects = bench.step(EntryEvent::SideReport(address(1), empty));
     assert!(dispatch(&effects).is_none());
     assert_eq!(
         requested_load(&effects).map(|(at, load_request)| (at, load_request.model.as_str())),
@@ -33,7 +33,7 @@
     bench.request("/draft/x", "m0");
     let mut effects = Vec::new();
     if reported {
-        effects.extend(bench.step(EntryEvent::Side(address(1), state(1, &["m0"]))));
+        effects.extend(bench.step(EntryEvent::SideReport(address(1), state(1, &["m0"]))));
     }
     effects.extend(bench.advance(ms));
     assert_eq!(dispatch(&effects).map(|dispatch| dispatch.instance.as_str()), Some("i1"));
--- a/crates/pool/tests/all/overload.rs
+++ b/crates/pool/tests/all/overload.rs
@@ -1,6 +1,6 @@
 //! A model that receives more requests than its replicas can serve.
 
-use citronrill_pool::{EntryEffect, EntryEvent, Reason, RequestId, Sending};
+use citronrill_pool::{Dispatch, EntryEffect, EntryEvent, Reason, RequestId};
 use citronrill_wire::SideState;
 
 use crate::support::{Bench, ENGINE, address, dispatch, member, refusal, state};
@@ -14,12 +14,12 @@
 
 fn report_state(bench: &mut Bench, active: u32) -> Vec<EntryEffect> {
     let state = SideState { active, ..state(1, &["m0"]) };
-    bench.step(EntryEvent::Side(address(1), state))
+    bench.step(EntryEvent::SideReport(address(1), state))
 }
 
-fn dispatches(effects: &[EntryEffect]) -> Vec<(RequestId, Sending)> {
+fn dispatches(effects: &[EntryEffect]) -> Vec<(RequestId, Dispatch)> {
     let dispatch = |effect: &EntryEffect| match effect {
-        EntryEffect::Send(id, dispatch) => Some((*id, dispatch.clone())),
+        EntryEffect::Dispatch(id, dispatch) => Some((*id, dispatch.clone())),
         _ => None,
     };
     effects.iter().filter_map(dispatch).collect()
@@ -78,13 +78,13 @@
         loading: if models.len() < 2 { vec!["m5".to_owned()] } else { Vec::new() },
         ..state(1, models)
     };
-    bench.step(EntryEvent::Side(address(1), loaded_state(&["m0"], 0)));
+    bench.step(EntryEvent::SideReport(address(1), loaded_state(&["m0"], 0)));
     for _ in 0..6 {
         bench.request("/draft/x", "m5");
     }
     bench.now += 300;
     let first =
-        dispatches(&bench.step(EntryEvent::Side(address(1), loaded_state(&["m0", "m5"], 0))));
+        dispatches(&bench.step(EntryEvent::SideReport(address(1), loaded_state(&["m0", "m5"], 0))));
     assert_eq!(first.len(), 1);
     assert_eq!(
         dispatches(&bench.advance(100)).len(),
@@ -96,6 +96,6 @@
         1,
         "a new request is not delayed"
     );
-    let effects = bench.step(EntryEvent::Side(address(1), loaded_state(&["m0", "m5"], 12)));
+    let effects = bench.step(EntryEvent::SideReport(address(1), loaded_state(&["m0", "m5"], 12)));
     assert_eq!(dispatches(&effects).len(), 1);
 }
--- a/crates/pool/tests/all/placement.rs
+++ b/crates/pool/tests/all/placement.rs
@@ -23,13 +23,13 @@
 #[test]
 fn request_waits_for_its_model() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1", "m2"])]);
-    bench.step(EntryEvent::Side(address(1), state(1, &["m0"])));
-    bench.step(EntryEvent::Side(address(2), state(1, &["m1", "m2"])));
+    bench.step(EntryEvent::SideReport(address(1), state(1, &["m0"])));
+    bench.step(EntryEvent::SideReport(address(2), state(1, &["m1", "m2"])));
     let (_, effects) = bench.request("/draft/x", "m5");
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!((at, load_request.model.as_str()), (address(1), "m5"));
     assert!(load_request.eviction_candidates.is_empty(), "memory suffices for both models");
-    let effects = bench.step(EntryEvent::Side(address(1), state(2, &["m0", "m5"])));
+    let effects = bench.step(EntryEvent::SideReport(address(1), state(2, &["m0", "m5"])));
     assert_eq!(dispatch(&effects).unwrap().instance, "i1");
 }
 
@@ -40,10 +40,10 @@
 fn side_state_overrides_the_member_list() {
     let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
     let mut bench = Bench::new(members.clone());
-    bench.step(EntryEvent::Side(address(2), state(3, &["m0"])));
+    bench.step(EntryEvent::SideReport(address(2), state(3, &["m0"])));
     let mut evicting = state(3, &["m0"]);
     evicting.evicting = vec!["m0".to_owned()];
-    bench.step(EntryEvent::Side(address(1), evicting));
+    bench.step(EntryEvent::SideReport(address(1), evicting));
     bench.set_members(9, members);
     for _ in 0..8 {
         let (_, effects) = bench.request("/chat/x", "m0");
@@ -57,9 +57,9 @@
 fn replica_of_a_silent_side_does_not_count() {
     let members = vec![member(1, ENGINE, &["m0", "m1"]), member(2, ENGINE, &["m0", "m2"])];
     let mut bench = Bench::new(members);
-    bench.step(EntryEvent::Side(address(1), busy(&[("m0", 10), ("m1", 1)])));
+    bench.step(EntryEvent::SideReport(address(1), busy(&[("m0", 10), ("m1", 1)])));
     bench.now += 2_500;
-    bench.step(EntryEvent::Side(address(2), busy(&[("m0", 10), ("m2", 1)])));
+    bench.step(EntryEvent::SideReport(address(2), busy(&[("m0", 10), ("m2", 1)])));
     let (_, effects) = bench.request("/draft/x", "m7");
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!(at, address(2));
@@ -73,8 +73,8 @@
 fn burst_of_rare_models_does_not_evict_busy_ones() {
     let members = vec![member(1, ENGINE, &["m0", "m1"]), member(2, ENGINE, &["m0", "m2"])];
     let mut bench = Bench::new(members);
-    bench.step(EntryEvent::Side(address(1), busy(&[("m0", 20), ("m1", 2)])));
-    bench.step(EntryEvent::Side(address(2), busy(&[("m0", 20), ("m2", 2)])));
+    bench.step(EntryEvent::SideReport(address(1), busy(&[("m0", 20), ("m1", 2)])));
+    bench.step(EntryEvent::SideReport(address(2), busy(&[("m0", 20), ("m2", 2)])));
     for rare in ["m5", "m6", "m7"] {
         let (_, effects) = bench.request("/draft/x", rare);
         if let Some((_, load_request)) = requested_load(&effects) {
@@ -96,7 +96,7 @@
     let mut bench = Bench::new(members);
     let empty = || SideState { on_disk: Vec::new(), ..state(0, &[]) };
     for index in 1..=9 {
-        bench.step(EntryEvent::Side(address(index), empty()));
+        bench.step(EntryEvent::SideReport(address(index), empty()));
     }
     let mut loading = 0;
     for index in 0..9 {
@@ -110,7 +110,7 @@
                 ..empty()
             };
             loading += 1;
-            bench.step(EntryEvent::Side(at, state));
+            bench.step(EntryEvent::SideReport(at, state));
         }
     }
     assert_eq!(loading, 1, "one load at a time for rare models on nine engines");
@@ -134,10 +134,10 @@
     uncached.on_disk.clear();
     let mut bench = Bench::new(vec![uncached]);
     let state = SideState { on_disk: Vec::new(), ..state(1, &["m0"]) };
-    bench.step(EntryEvent::Side(address(1), state));
+    bench.step(EntryEvent::SideReport(address(1), state));
     let (_, effects) = bench.request("/chat/x", "m5");
     let (reason, retry_ms) = refusal(&effects).unwrap();
-    assert_eq!(reason, Reason::TooFar);
+    assert_eq!(reason, Reason::TooLate);
     assert!(retry_ms.is_some());
     assert_eq!(requested_load(&effects).unwrap().1.model, "m5");
 }
@@ -147,14 +147,14 @@
 #[test]
 fn declined_adapter_is_requested_after_a_pause() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
-    bench.step(EntryEvent::Side(address(1), state(1, &["m0"])));
+    bench.step(EntryEvent::SideReport(address(1), state(1, &["m0"])));
     let (_, effects) = bench.request("/draft/x", "m0/a1");
     assert_eq!(requested_load(&effects).unwrap().1.adapter, "a1");
     let declined = ModelName { model: "m0".to_owned(), adapter: "a1".to_owned() };
-    bench.step(EntryEvent::Declined(address(1), declined));
+    bench.step(EntryEvent::LoadDeclined(address(1), declined));
     for _ in 0..4 {
         assert!(requested_load(&bench.advance(20)).is_none());
-        let effects = bench.step(EntryEvent::Side(address(1), state(1, &["m0"])));
+        let effects = bench.step(EntryEvent::SideReport(address(1), state(1, &["m0"])));
         assert!(requested_load(&effects).is_none());
     }
     assert!(requested_load(&bench.advance(300)).is_some(), "requested again after the pause");
@@ -165,8 +165,8 @@
 #[test]
 fn overloaded_model_gets_another_replica() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
-    bench.step(EntryEvent::Side(address(1), busy(&[("m0", 30)])));
-    bench.step(EntryEvent::Side(address(2), state(1, &["m1"])));
+    bench.step(EntryEvent::SideReport(address(1), busy(&[("m0", 30)])));
+    bench.step(EntryEvent::SideReport(address(2), state(1, &["m1"])));
     for _ in 0..26 {
         bench.request("/chat/x", "m0");
     }
@@ -182,12 +182,12 @@
 fn unserved_requests_count_as_demand() {
     let members = vec![member(1, ENGINE, &["m2", "m3"]), member(2, ENGINE, &["m1", "m4"])];
     let mut bench = Bench::new(members);
-    bench.step(EntryEvent::Side(address(1), busy(&[("m2", 1), ("m3", 1)])));
-    bench.step(EntryEvent::Side(address(2), busy(&[("m1", 1), ("m4", 1)])));
+    bench.step(EntryEvent::SideReport(address(1), busy(&[("m2", 1), ("m3", 1)])));
+    bench.step(EntryEvent::SideReport(address(2), busy(&[("m1", 1), ("m4", 1)])));
     for _ in 0..10 {
         bench.request("/chat/x", "m0");
     }
-    bench.step(EntryEvent::Side(address(1), busy(&[("m0", 0), ("m3", 1)])));
+    bench.step(EntryEvent::SideReport(address(1), busy(&[("m0", 0), ("m3", 1)])));
     let (_, effects) = bench.request("/draft/x", "m7");
     let (_, load_request) = requested_load(&effects).unwrap();
     assert!(
@@ -203,14 +203,14 @@
 #[test]
 fn restarted_endpoint_is_used_before_it_is_listed() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
-    bench.step(EntryEvent::Side(address(1), state(3, &["m0"])));
+    bench.step(EntryEvent::SideReport(address(1), state(3, &["m0"])));
     let restarted = SideState { instance: "i1-b".to_owned(), ..state(0, &[]) };
-    bench.step(EntryEvent::Side(address(1), restarted.clone()));
+    bench.step(EntryEvent::SideReport(address(1), restarted.clone()));
     bench.set_members(2, vec![member(1, ENGINE, &["m0"])]);
     let (_, effects) = bench.request("/draft/x", "m5");
     assert_eq!(requested_load(&effects).unwrap().1.instance, "i1-b");
     let loaded_state = SideState { instance: "i1-b".to_owned(), ..state(1, &["m5"]) };
-    let effects = bench.step(EntryEvent::Side(address(1), loaded_state));
+    let effects = bench.step(EntryEvent::SideReport(address(1), loaded_state));
     assert_eq!(dispatch(&effects).unwrap().instance, "i1-b");
     // Once listed, the new incarnation leaves like any other.
     let leaving = Member { instance: "i1-b".to_owned(), leaving: true, ..member(1, ENGINE, &[]) };
@@ -226,7 +226,7 @@
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
     let other =
         SideState { instance: "x1".to_owned(), service: "other".to_owned(), ..state(0, &["m0"]) };
-    bench.step(EntryEvent::Side(address(1), other));
+    bench.step(EntryEvent::SideReport(address(1), other));
     let (_, effects) = bench.request("/chat/x", "m0");
     assert_eq!(dispatch(&effects).unwrap().instance, "i1");
 }
@@ -238,11 +238,11 @@
 fn replica_is_added_before_the_slots_are_full() {
     let full = member(3, ENGINE, &["m1", "m2"]);
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"]), full]);
-    bench.step(EntryEvent::Side(address(3), busy(&[("m1", 2), ("m2", 2)])));
-    bench.step(EntryEvent::Side(address(2), busy(&[("m0", 18)])));
-    bench.step(EntryEvent::Side(address(1), busy(&[("m0", 18)])));
+    bench.step(EntryEvent::SideReport(address(3), busy(&[("m1", 2), ("m2", 2)])));
+    bench.step(EntryEvent::SideReport(address(2), busy(&[("m0", 18)])));
+    bench.step(EntryEvent::SideReport(address(1), busy(&[("m0", 18)])));
     assert!(requested_load(&bench.advance(20)).is_none(), "two replicas suffice for 36");
-    bench.step(EntryEvent::Side(address(1), busy(&[("m0", 32)])));
+    bench.step(EntryEvent::SideReport(address(1), busy(&[("m0", 32)])));
     let effects = bench.advance(20);
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!((at, load_request.model.as_str()), (address(3), "m0"));
@@ -254,13 +254,13 @@
 #[test]
 fn model_in_demand_has_a_spare_replica() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
-    bench.step(EntryEvent::Side(address(2), busy(&[("m1", 1)])));
-    bench.step(EntryEvent::Side(address(1), busy(&[("m0", 8)])));
+    bench.step(EntryEvent::SideReport(address(2), busy(&[("m1", 1)])));
+    bench.step(EntryEvent::SideReport(address(1), busy(&[("m0", 8)])));
     let effects = bench.advance(20);
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!((at, load_request.model.as_str()), (address(2), "m0"));
     assert!(load_request.eviction_candidates.is_empty());
-    bench.step(EntryEvent::Side(address(2), busy(&[("m1", 1), ("m0", 0)])));
+    bench.step(EntryEvent::SideReport(address(2), busy(&[("m1", 1), ("m0", 0)])));
     assert!(requested_load(&bench.advance(1_000)).is_none(), "one spare replica is enough");
 }
 
@@ -269,8 +269,8 @@
 #[test]
 fn replicas_of_a_missing_model_are_loaded_concurrently() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &[]), member(2, ENGINE, &[])]);
-    bench.step(EntryEvent::Side(address(1), state(0, &[])));
-    bench.step(EntryEvent::Side(address(2), state(0, &[])));
+    bench.step(EntryEvent::SideReport(address(1), state(0, &[])));
+    bench.step(EntryEvent::SideReport(address(2), state(0, &[])));
     let (_, effects) = bench.request("/chat/x", "m0");
     let (first, _) = requested_load(&effects).unwrap();
     for _ in 0..9 {
@@ -278,10 +278,11 @@
         bench.advance(20);
     }
     let loading_state = SideState { loading: vec!["m0".to_owned()], ..state(0, &[]) };
-    bench.step(EntryEvent::Side(first, loading_state));
+    bench.step(EntryEvent::SideReport(first, loading_state));
     bench.advance(100);
     let loaded_state = SideState { ..state(1, &["m0"]) };
-    let effects = [bench.step(EntryEvent::Side(first, loaded_state)), bench.advance(40)].concat();
+    let effects =
+        [bench.step(EntryEvent::SideReport(first, loaded_state)), bench.advance(40)].concat();
     let (second, load_request) = requested_load(&effects).unwrap();
     assert_eq!(load_request.model, "m0");
     assert_ne!(second, first);
@@ -294,10 +295,13 @@
 fn load_waits_briefly_for_a_side_that_may_report_cached_weights() {
     let bare = |index| Member { on_disk: Vec::new(), ..member(index, ENGINE, &[]) };
     let mut bench = Bench::new(vec![bare(1), member(2, ENGINE, &[])]);
-    bench.step(EntryEvent::Side(address(1), SideState { on_disk: Vec::new(), ..state(0, &[]) }));
+    bench.step(EntryEvent::SideReport(
+        address(1),
+        SideState { on_disk: Vec::new(), ..state(0, &[]) },
+    ));
     let (_, effects) = bench.request("/draft/x", "m5");
     assert!(requested_load(&effects).is_none() && refusal(&effects).is_none(), "{effects:?}");
-    let effects = bench.step(EntryEvent::Side(address(2), state(0, &[])));
+    let effects = bench.step(EntryEvent::SideReport(address(2), state(0, &[])));
     assert_eq!(requested_load(&effects).unwrap().0, address(2));
 }
 
@@ -307,10 +311,16 @@
 fn load_does_not_wait_long_for_a_missing_side() {
     let bare = |index| Member { on_disk: Vec::new(), ..member(index, ENGINE, &[]) };
     let mut bench = Bench::new(vec![bare(1), member(2, ENGINE, &[])]);
-    bench.step(EntryEvent::Side(address(1), SideState { on_disk: Vec::new(), ..state(0, &[]) }));
+    bench.step(EntryEvent::SideReport(
+        address(1),
+        SideState { on_disk: Vec::new(), ..state(0, &[]) },
+    ));
     bench.request("/draft/x", "m5");
     bench.advance(1_000);
-    bench.step(EntryEvent::Side(address(1), SideState { on_disk: Vec::new(), ..state(0, &[]) }));
+    bench.step(EntryEvent::SideReport(
+        address(1),
+        SideState { on_disk: Vec::new(), ..state(0, &[]) },
+    ));
     let effects = bench.advance(400);
     assert_eq!(requested_load(&effects).unwrap().0, address(1));
 }
@@ -323,16 +333,16 @@
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
     let loading_state = |load_eta_ms| {
         let loading = vec!["m5".to_owned()];
-        EntryEvent::Side(address(1), SideState { loading, load_eta_ms, ..state(1, &["m0"]) })
+        EntryEvent::SideReport(address(1), SideState { loading, load_eta_ms, ..state(1, &["m0"]) })
     };
     bench.step(loading_state(700));
-    bench.step(EntryEvent::Side(address(2), state(1, &["m1"])));
+    bench.step(EntryEvent::SideReport(address(2), state(1, &["m1"])));
     let (_, effects) = bench.request("/draft/x", "m5");
     assert!(requested_load(&effects).is_none() && refusal(&effects).is_none(), "{effects:?}");
-    let effects = bench.step(EntryEvent::Side(address(1), state(2, &["m0", "m5"])));
+    let effects = bench.step(EntryEvent::SideReport(address(1), state(2, &["m0", "m5"])));
     assert_eq!(dispatch(&effects).unwrap().instance, "i1");
     // The weight store would take six seconds, and the other endpoint has the weights cached.
-    bench.step(EntryEvent::Side(address(1), state(3, &["m0"])));
+    bench.step(EntryEvent::SideReport(address(1), state(3, &["m0"])));
     bench.step(loading_state(6_000));
     let (_, effects) = bench.request("/draft/x", "m5");
     assert_eq!(requested_load(&effects).unwrap().0, address(2));
@@ -346,8 +356,8 @@
     for (first, second, at) in [(20, 1, 2), (1, 20, 1)] {
         let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])];
         let mut bench = Bench::new(members);
-        bench.step(EntryEvent::Side(address(1), busy(&[("m0", first)])));
-        bench.step(EntryEvent::Side(address(2), busy(&[("m1", second)])));
+        bench.step(EntryEvent::SideReport(address(1), busy(&[("m0", first)])));
+        bench.step(EntryEvent::SideReport(address(2), busy(&[("m1", second)])));
         let (_, effects) = bench.request("/draft/x", "m7");
         assert_eq!(requested_load(&effects).unwrap().0, address(at));
     }
@@ -361,8 +371,8 @@
         let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
         let mut bench = Bench::new(members);
         let loading = SideState { order_eta_ms: 900, ..state(1, &["m0"]) };
-        bench.step(EntryEvent::Side(address(busy), loading));
-        bench.step(EntryEvent::Side(address(free), state(1, &["m0"])));
+        bench.step(EntryEvent::SideReport(address(busy), loading));
+        bench.step(EntryEvent::SideReport(address(free), state(1, &["m0"])));
         let (_, effects) = bench.request("/chat/x", "m0/a3");
         assert_eq!(requested_load(&effects).unwrap().0, address(free));
     }
@@ -377,8 +387,8 @@
         |index, models: &[&str]| Member { on_disk: Vec::new(), ..member(index, ENGINE, models) };
     let state_of = |rates: &[(&str, u32)]| SideState { on_disk: Vec::new(), ..busy(rates) };
     let mut bench = Bench::new(vec![bare(1, &["m0"]), bare(2, &["m1", "m2"])]);
-    bench.step(EntryEvent::Side(address(2), state_of(&[("m1", 1), ("m2", 1)])));
-    bench.step(EntryEvent::Side(address(1), state_of(&[("m0", 20)])));
+    bench.step(EntryEvent::SideReport(address(2), state_of(&[("m1", 1), ("m2", 1)])));
+    bench.step(EntryEvent::SideReport(address(1), state_of(&[("m0", 20)])));
     let effects = bench.advance(20);
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!((at, load_request.model.as_str()), (address(2), "m0"));
@@ -397,7 +407,7 @@
     let addresses = members.iter().map(|member| member.address).collect::<Vec<_>>();
     let mut bench = Bench::new(members);
     for (address, state) in addresses.into_iter().zip(states) {
-        bench.step(EntryEvent::Side(address, state));
+        bench.step(EntryEvent::SideReport(address, state));
     }
     bench.advance(100)
 }
@@ -460,7 +470,7 @@
     let addresses = members.iter().map(|member| member.address).collect::<Vec<_>>();
     let mut bench = Bench::new(members);
     for address in addresses {
-        bench.step(EntryEvent::Side(address, state(1, &["m0"])));
+        bench.step(EntryEvent::SideReport(address, state(1, &["m0"])));
     }
     bench
 }
--- a/crates/pool/tests/all/stock.rs
+++ b/crates/pool/tests/all/preload.rs
@@ -10,7 +10,7 @@
 fn load_requests(effects: &[EntryEffect]) -> Vec<&LoadRequest> {
     let mut found = Vec::new();
     for effect in effects {
-        if let EntryEffect::Want(_, load_request) = effect {
+        if let EntryEffect::LoadRequest(_, load_request) = effect {
             found.push(load_request);
         }
     }
@@ -24,7 +24,7 @@
     member: Option<Member>,
 ) -> Vec<EntryEffect> {
     let rows = vec![(name.to_owned(), member)];
-    bench.step(EntryEvent::Members(MemberChange { whole: false, version, rows }))
+    bench.step(EntryEvent::Members(MemberChange { complete: false, version, rows }))
 }
 
 /// Six endpoints: `m0` is loaded at one to three, `m1` at four and five, and the sixth is empty.
@@ -48,9 +48,9 @@
 fn report_all(bench: &mut Bench) {
     for index in 1..6 {
         let held = if index < 4 { ("m0", 1) } else { ("m1", 0) };
-        bench.step(EntryEvent::Side(address(index), state_with_rates(&[held])));
+        bench.step(EntryEvent::SideReport(address(index), state_with_rates(&[held])));
     }
-    bench.step(EntryEvent::Side(address(6), state_with_rates(&[])));
+    bench.step(EntryEvent::SideReport(address(6), state_with_rates(&[])));
 }
 
 /// Endpoints are replaced, and the new ones start with an empty disk. A model with a request every
@@ -101,8 +101,8 @@
 #[test]
 fn entry_that_has_just_started_does_not_preload() {
     let mut bench = Bench::new(vec![bare(1, &["m0"]), bare(2, &[])]);
-    bench.step(EntryEvent::Side(address(1), state_with_rates(&[("m0", 1)])));
-    bench.step(EntryEvent::Side(address(2), state_with_rates(&[])));
+    bench.step(EntryEvent::SideReport(address(1), state_with_rates(&[("m0", 1)])));
+    bench.step(EntryEvent::SideReport(address(2), state_with_rates(&[])));
     bench.request("/draft/x", "m0");
     update_row(&mut bench, 2, "i1", Some(Member { leaving: true, ..bare(1, &["m0"]) }));
     assert!(load_requests(&bench.advance(1_000)).is_empty());
@@ -117,7 +117,7 @@
     let mut bench = Bench::new(members);
     let report_empty = |bench: &mut Bench| {
         for index in 2..6 {
-            bench.step(EntryEvent::Side(address(index), state_with_rates(&[])));
+            bench.step(EntryEvent::SideReport(address(index), state_with_rates(&[])));
         }
     };
     let loading_state = SideState {
@@ -126,7 +126,7 @@
         store_loads: 1,
         ..state_with_rates(&[])
     };
-    bench.step(EntryEvent::Side(address(1), loading_state.clone()));
+    bench.step(EntryEvent::SideReport(address(1), loading_state.clone()));
     report_empty(&mut bench);
     let mut requested = Vec::new();
     for _ in 0..20 {
@@ -140,7 +140,7 @@
                 .into_iter()
                 .map(|load_request| load_request.model.clone()),
         );
-        bench.step(EntryEvent::Side(address(1), loading_state.clone()));
+        bench.step(EntryEvent::SideReport(address(1), loading_state.clone()));
         report_empty(&mut bench);
     }
     assert_eq!(requested.first().map(String::as_str), Some("m5"), "{requested:?}");
@@ -153,7 +153,7 @@
     let mut bench = Bench::new((1..10).map(|index| bare(index, &[])).collect());
     let mut long_timeouts = (*config(2)).clone();
     long_timeouts.routes.iter_mut().for_each(|route| route.timeout_ms = 15_000);
-    bench.step(EntryEvent::Text(Arc::new(long_timeouts)));
+    bench.step(EntryEvent::Config(Arc::new(long_timeouts)));
     let loading_state = SideState {
         loading: vec!["m0".to_owned()],
         load_eta_ms: 5_500,
@@ -163,7 +163,7 @@
     for _ in 0..30 {
         for index in 1..10 {
             let state = if index < 3 { loading_state.clone() } else { state_with_rates(&[]) };
-            bench.step(EntryEvent::Side(address(index), state));
+            bench.step(EntryEvent::SideReport(address(index), state));
         }
         for _ in 0..5 {
             let (_, effects) = bench.request_with_deadline("/draft/x", "m0", 15_000);
--- a/crates/pool/tests/all/resume.rs
+++ b/crates/pool/tests/all/resume.rs
@@ -1,7 +1,7 @@
 //! Streams that resume at another endpoint when theirs fails.
 
 use citronrill_pool::{
-    AnswerHead, EntryEffect, EntryEvent, FailureKind, Member, RequestId, Resume, Sending,
+    Dispatch, EntryEffect, EntryEvent, FailureKind, Member, RequestId, ResponseHead, Resume,
     StartTime, TokenCount,
 };
 use citronrill_wire::SideState;
@@ -10,12 +10,12 @@
 use crate::support::{Bench, ENGINE, address, dispatch, member, state};
 
 /// The head of a successful response.
-const SERVED: AnswerHead = AnswerHead {
+const SERVED: ResponseHead = ResponseHead {
     status: 200,
     not_run: false,
     signed: true,
-    foreign: false,
-    elsewhere: false,
+    misdirected: false,
+    other_incarnation: false,
     load: None,
 };
 
@@ -28,26 +28,26 @@
 
 fn report_states(bench: &mut Bench, engines: u8) {
     for index in 1..=engines {
-        bench.step(EntryEvent::Side(address(index), state(1, &["m0"])));
+        bench.step(EntryEvent::SideReport(address(index), state(1, &["m0"])));
     }
 }
 
 /// Starts a stream on `path`; its endpoint has sent the response head.
-fn start_stream(bench: &mut Bench, path: &str) -> (RequestId, Sending) {
+fn start_stream(bench: &mut Bench, path: &str) -> (RequestId, Dispatch) {
     let (id, effects) = bench.request(path, "m0");
     let sent = dispatch(&effects).unwrap().clone();
-    bench.step(EntryEvent::Answer(id, sent.number, SERVED));
+    bench.step(EntryEvent::ResponseHead(id, sent.number, SERVED));
     (id, sent)
 }
 
 /// Makes the entry count the loss of an endpoint: a stream breaks off.
 fn lose_stream(bench: &mut Bench) {
     let (id, _) = start_stream(bench, "/draft/x");
-    bench.step(EntryEvent::Broke(id, Some(0)));
+    bench.step(EntryEvent::StreamBroken(id, Some(0)));
 }
 
 fn is_cut(effects: &[EntryEffect], id: RequestId) -> bool {
-    effects.contains(&EntryEffect::Cut(id))
+    effects.contains(&EntryEffect::Abort(id))
 }
 
 /// An engine crashes during a stream that may run only once. Another engine has a copy of its KV
@@ -59,12 +59,12 @@
     let (id, sent) = start_stream(&mut bench, "/draft/x");
     let backup = sent.backup.unwrap();
     assert_ne!(backup, sent.address);
-    let effects = bench.step(EntryEvent::Broke(id, Some(7)));
+    let effects = bench.step(EntryEvent::StreamBroken(id, Some(7)));
     let next = dispatch(&effects).unwrap();
     assert_eq!(next.address, backup);
-    assert_eq!(next.resume, Some(Resume { after: Some(7), copy: true }));
-    let effects = bench.step(EntryEvent::Answer(id, next.number, SERVED));
-    assert!(effects.contains(&EntryEffect::Pass(id)));
+    assert_eq!(next.resume, Some(Resume { last_event: Some(7), copy: true }));
+    let effects = bench.step(EntryEvent::ResponseHead(id, next.number, SERVED));
+    assert!(effects.contains(&EntryEffect::Forward(id)));
 }
 
 /// A stream that may run only once breaks off and no copy of its KV cache exists. It must not run a
@@ -74,9 +74,9 @@
     let mut bench = bench(3);
     let (id, sent) = start_stream(&mut bench, "/draft/x");
     assert_eq!(sent.backup, None, "no stream has been lost yet");
-    let effects = bench.step(EntryEvent::Broke(id, Some(7)));
+    let effects = bench.step(EntryEvent::StreamBroken(id, Some(7)));
     assert!(is_cut(&effects, id) && dispatch(&effects).is_none(), "{effects:?}");
-    assert_eq!(bench.entry.in_hand(), 0);
+    assert_eq!(bench.entry.in_flight(), 0);
 }
 
 /// A resumable stream needs no copy: it resumes after the last event at any holder of its model.
@@ -84,17 +84,17 @@
 fn resumable_stream_resumes_at_any_holder() {
     let mut bench = bench(2);
     let (id, sent) = start_stream(&mut bench, "/chat/x");
-    let effects = bench.step(EntryEvent::Broke(id, Some(3)));
+    let effects = bench.step(EntryEvent::StreamBroken(id, Some(3)));
     let next = dispatch(&effects).unwrap();
     assert_ne!(next.address, sent.address);
-    assert_eq!(next.resume, Some(Resume { after: Some(3), copy: false }));
+    assert_eq!(next.resume, Some(Resume { last_event: Some(3), copy: false }));
 }
 
 /// An endpoint runs a request, and the response is lost with the connection before any event. When
 /// such runs were resumed from their copy, requests ran twice. Only runs with an event resume.
 #[rstest]
-#[case(EntryEvent::Fail(RequestId(0), 1, FailureKind::Broken))]
-#[case(EntryEvent::Broke(RequestId(0), None))]
+#[case(EntryEvent::DispatchFailed(RequestId(0), 1, FailureKind::Broken))]
+#[case(EntryEvent::StreamBroken(RequestId(0), None))]
 fn run_without_an_event_is_not_resumed(#[case] event: EntryEvent) {
     let mut bench = bench(3);
     lose_stream(&mut bench);
@@ -102,10 +102,12 @@
     let sent = dispatch(&effects).unwrap();
     assert!(sent.backup.is_some());
     let effects = match event {
-        EntryEvent::Fail(_, number, kind) => bench.step(EntryEvent::Fail(id, number, kind)),
+        EntryEvent::DispatchFailed(_, number, kind) => {
+            bench.step(EntryEvent::DispatchFailed(id, number, kind))
+        }
         _ => {
-            bench.step(EntryEvent::Answer(id, sent.number, SERVED));
-            bench.step(EntryEvent::Broke(id, None))
+            bench.step(EntryEvent::ResponseHead(id, sent.number, SERVED));
+            bench.step(EntryEvent::StreamBroken(id, None))
         }
     };
     assert!(dispatch(&effects).is_none(), "{effects:?}");
@@ -115,18 +117,18 @@
 /// has a successful head and would take the error's body for the end of the response. The stream is
 /// cut instead.
 #[rstest]
-#[case::fails(AnswerHead { status: 500, signed: true, ..AnswerHead::default() }, "/draft/x")]
-#[case::fails_signed(AnswerHead { status: 404, signed: true, ..AnswerHead::default() }, "/draft/x")]
-#[case::has_no_copy(AnswerHead { status: 503, not_run: true, ..AnswerHead::default() }, "/draft/x")]
-#[case::fails_again(AnswerHead { status: 500, signed: true, ..AnswerHead::default() }, "/chat/x")]
-fn failure_after_a_successful_head_cuts_the_stream(#[case] head: AnswerHead, #[case] path: &str) {
+#[case::fails(ResponseHead { status: 500, signed: true, ..ResponseHead::default() }, "/draft/x")]
+#[case::fails_signed(ResponseHead { status: 404, signed: true, ..ResponseHead::default() }, "/draft/x")]
+#[case::has_no_copy(ResponseHead { status: 503, not_run: true, ..ResponseHead::default() }, "/draft/x")]
+#[case::fails_again(ResponseHead { status: 500, signed: true, ..ResponseHead::default() }, "/chat/x")]
+fn failure_after_a_successful_head_cuts_the_stream(#[case] head: ResponseHead, #[case] path: &str) {
     let mut bench = bench(3);
     lose_stream(&mut bench);
     let (id, _) = start_stream(&mut bench, path);
-    let effects = bench.step(EntryEvent::Broke(id, Some(7)));
+    let effects = bench.step(EntryEvent::StreamBroken(id, Some(7)));
     let next = dispatch(&effects).unwrap();
-    let effects = bench.step(EntryEvent::Answer(id, next.number, head));
-    assert!(!effects.contains(&EntryEffect::Pass(id)), "{effects:?}");
+    let effects = bench.step(EntryEvent::ResponseHead(id, next.number, head));
+    assert!(!effects.contains(&EntryEffect::Forward(id)), "{effects:?}");
     assert!(is_cut(&effects, id), "{effects:?}");
 }
 
@@ -136,7 +138,7 @@
 fn resuming_stream_is_cut_at_its_deadline() {
     let mut bench = bench(2);
     let (id, _) = start_stream(&mut bench, "/chat/x");
-    bench.step(EntryEvent::Broke(id, Some(3)));
+    bench.step(EntryEvent::StreamBroken(id, Some(3)));
     let effects = bench.advance(5_100);
     assert!(is_cut(&effects, id), "{effects:?}");
     assert!(!effects.iter().any(|effect| matches!(effect, EntryEffect::Refuse(..))));
@@ -150,15 +152,15 @@
     let (id, _) = start_stream(&mut bench, "/draft/x");
     let mut after = 4;
     for _ in 0..2 {
-        let effects = bench.step(EntryEvent::Broke(id, Some(after)));
+        let effects = bench.step(EntryEvent::StreamBroken(id, Some(after)));
         let next = dispatch(&effects).unwrap();
-        assert_eq!(next.resume, Some(Resume { after: Some(after), copy: true }));
-        bench.step(EntryEvent::Answer(id, next.number, SERVED));
+        assert_eq!(next.resume, Some(Resume { last_event: Some(after), copy: true }));
+        bench.step(EntryEvent::ResponseHead(id, next.number, SERVED));
         after += 3;
     }
-    let effects = bench.step(EntryEvent::Finish(id, true));
+    let effects = bench.step(EntryEvent::ResponseEnded(id, true));
     assert!(!is_cut(&effects, id));
-    assert_eq!(bench.entry.in_hand(), 0);
+    assert_eq!(bench.entry.in_flight(), 0);
 }
 
 /// The caller leaves while its stream is being resumed: no state of the request remains.
@@ -166,9 +168,9 @@
 fn caller_leaves_during_a_resume() {
     let mut bench = bench(2);
     let (id, _) = start_stream(&mut bench, "/chat/x");
-    bench.step(EntryEvent::Broke(id, Some(3)));
-    bench.step(EntryEvent::Leave(id));
-    assert_eq!(bench.entry.in_hand(), 0);
+    bench.step(EntryEvent::StreamBroken(id, Some(3)));
+    bench.step(EntryEvent::CallerLeft(id));
+    assert_eq!(bench.entry.in_flight(), 0);
 }
 
 /// After the loss of an endpoint, copies of long prompts would fill the remaining ones: when all
@@ -203,11 +205,11 @@
     let mut bench = Bench::new((1..=3).map(started_member).collect());
     let started = |start| SideState { started: Some(start), ..state(1, &["m0"]) };
     for index in 1..=3 {
-        bench.step(EntryEvent::Side(address(index), started(1_000)));
+        bench.step(EntryEvent::SideReport(address(index), started(1_000)));
     }
     let (_, sent) = start_stream(&mut bench, "/draft/x");
     assert_eq!(sent.backup, None);
-    bench.step(EntryEvent::Side(address(3), started(9_000)));
+    bench.step(EntryEvent::SideReport(address(3), started(9_000)));
     let (_, sent) = start_stream(&mut bench, "/draft/x");
     assert!(sent.backup.is_some());
 }
@@ -219,7 +221,7 @@
     for _ in 0..5 {
         let (id, effects) = bench.request("/draft/x", "m0");
         let number = dispatch(&effects).unwrap().number;
-        bench.step(EntryEvent::Fail(id, number, FailureKind::Broken));
+        bench.step(EntryEvent::DispatchFailed(id, number, FailureKind::Broken));
     }
     let (_, sent) = start_stream(&mut bench, "/draft/x");
     assert_eq!(sent.backup, None);
--- a/crates/pool/tests/all/side.rs
+++ b/crates/pool/tests/all/side.rs
@@ -20,7 +20,7 @@
     /// A side whose endpoint has `models` loaded.
     fn new(models: &[&str]) -> Bench {
         let mut bench = Bench { side: PoolSide::new(ENGINE), now: 1_000 };
-        bench.step(SideEvent::Text(config(1)));
+        bench.step(SideEvent::Config(config(1)));
         bench.report(report(1, models));
         bench
     }
@@ -36,11 +36,11 @@
     }
 
     pub(crate) fn request_load(&mut self, load_request: LoadRequest) -> Vec<SideEffect> {
-        self.step(SideEvent::Want(LINK, load_request))
+        self.step(SideEvent::LoadRequest(LINK, load_request))
     }
 
     fn accepted(&mut self, order: &Order) -> Vec<SideEffect> {
-        self.step(SideEvent::Ordered(order.number, OrderOutcome::Accepted, None))
+        self.step(SideEvent::OrderAnswered(order.number, OrderOutcome::Accepted, None))
     }
 }
 
@@ -119,11 +119,11 @@
 fn unanswered_order_is_repeated_with_its_sequence() {
     let mut bench = Bench::new(&["m0"]);
     let first = orders(&bench.request_load(load_request("m5", &[]))).remove(0);
-    bench.step(SideEvent::Ordered(first.number, OrderOutcome::Unknown, None));
+    bench.step(SideEvent::OrderAnswered(first.number, OrderOutcome::Unknown, None));
     bench.now += 500;
     let again = orders(&bench.report(report(1, &["m0"]))).remove(0);
     assert_eq!(again, first);
-    bench.step(SideEvent::Ordered(first.number, OrderOutcome::Unknown, None));
+    bench.step(SideEvent::OrderAnswered(first.number, OrderOutcome::Unknown, None));
     bench.now += 500;
     let effects = bench.report(EngineReport { busy: true, ..report(2, &["m0"]) });
     assert!(orders(&effects).is_empty(), "the sequence shows that one order was accepted");
@@ -136,7 +136,7 @@
     let mut bench = Bench::new(&["m0"]);
     let order = orders(&bench.request_load(load_request("m5", &[]))).remove(0);
     bench.now += 5;
-    let effects = bench.step(SideEvent::Ordered(order.number, OrderOutcome::Conflict, None));
+    let effects = bench.step(SideEvent::OrderAnswered(order.number, OrderOutcome::Conflict, None));
     assert!(orders(&effects).is_empty());
     assert!(orders(&bench.step(SideEvent::Tick)).is_empty());
     assert_eq!(orders(&bench.report(report(1, &["m0"]))).len(), 1);
@@ -151,7 +151,7 @@
     bench.request_load(load_request("m5", &["m0"]));
     bench.report(report(0, &[]));
     assert!(bench.side.state().unwrap().loading.is_empty());
-    bench.step(SideEvent::Named("i2".to_owned()));
+    bench.step(SideEvent::NameReported("i2".to_owned()));
     let current = LoadRequest { instance: "i2".to_owned(), ..load_request("m5", &[]) };
     let order = orders(&bench.request_load(current)).remove(0);
     assert_eq!((order.sequence, order.token, order.instance.as_str()), (0, 1, "i2"));
@@ -165,7 +165,7 @@
     let mut first = Bench::new(&["m0"]);
     let before = orders(&first.request_load(load_request("m5", &[]))).remove(0).token;
     let mut second = Bench { side: PoolSide::new(ENGINE), now: 50 };
-    second.step(SideEvent::Text(config(1)));
+    second.step(SideEvent::Config(config(1)));
     second.report(report(41, &["m0"]));
     let after = orders(&second.request_load(load_request("m6", &[]))).remove(0).token;
     assert!(after >= before, "{after} after {before}");
@@ -213,7 +213,7 @@
     full.models[0].adapters = vec!["a1".to_owned(), "a2".to_owned()];
     bench.report(full.clone());
     let used = |adapter: &str| {
-        SideEvent::Used(UsageReport {
+        SideEvent::Usage(UsageReport {
             model: "m0".to_owned(),
             adapter: adapter.to_owned(),
             missed: false,
@@ -267,7 +267,7 @@
     let mut bench = Bench::new(&["m0"]);
     let order = orders(&bench.request_load(load_request("m5", &[]))).remove(0);
     let named = Some("i9".to_owned());
-    let effects = bench.step(SideEvent::Ordered(order.number, OrderOutcome::Rejected, named));
+    let effects = bench.step(SideEvent::OrderAnswered(order.number, OrderOutcome::Rejected, named));
     assert_eq!(published(&effects).unwrap().instance, "i9");
     assert_eq!(declines(&bench.request_load(load_request("m6", &[]))), 1);
     let current = LoadRequest { instance: "i9".to_owned(), ..load_request("m6", &[]) };
@@ -280,15 +280,15 @@
 #[test]
 fn restarted_endpoint_is_asked_for_its_name() {
     let mut bench = Bench::new(&["m0"]);
-    bench.step(SideEvent::Named("i1".to_owned()));
+    bench.step(SideEvent::NameReported("i1".to_owned()));
     let effects = bench.report(report(0, &[]));
-    assert!(effects.contains(&SideEffect::Identify("/health".to_owned())), "{effects:?}");
+    assert!(effects.contains(&SideEffect::QueryName("/health".to_owned())), "{effects:?}");
     assert_eq!(
         declines(&bench.request_load(load_request("m5", &[]))),
         1,
         "i1 is a previous incarnation"
     );
-    let effects = bench.step(SideEvent::Named("i2".to_owned()));
+    let effects = bench.step(SideEvent::NameReported("i2".to_owned()));
     assert_eq!(published(&effects).unwrap().instance, "i2");
     let current = LoadRequest { instance: "i2".to_owned(), ..load_request("m5", &[]) };
     assert_eq!(orders(&bench.request_load(current))[0].instance, "i2");
@@ -300,12 +300,12 @@
 #[test]
 fn endpoint_that_was_unreachable_is_asked_for_its_name() {
     let mut bench = Bench::new(&["m0"]);
-    bench.step(SideEvent::Named("i1".to_owned()));
+    bench.step(SideEvent::NameReported("i1".to_owned()));
     bench.now += 300;
     bench.step(SideEvent::Report(None));
     bench.now += 300;
     let effects = bench.report(report(1, &["m0"]));
-    assert!(effects.contains(&SideEffect::Identify("/health".to_owned())), "{effects:?}");
+    assert!(effects.contains(&SideEffect::QueryName("/health".to_owned())), "{effects:?}");
     assert_eq!(declines(&bench.request_load(load_request("m5", &[]))), 0);
 }
 
--- a/crates/pool/tests/all/load.rs
+++ b/crates/pool/tests/all/simulated_loads.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use crate::world::{Faults, Load, Simulation};
+use crate::simulation::{Faults, Load, Simulation};
 
 /// 18 requests a second over 60 rare models, beside a busy one with 40 a second. The engines cannot
 /// swap models that fast: every other eviction candidate is taken, and only the busy model is left.
--- a/crates/pool/tests/all/world/engines.rs
+++ b/crates/pool/tests/all/simulation/engines.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use citronrill_pool::{
-    AnswerHead, EngineReport, EntryEvent, FailureKind, HeldModel, Order, OrderKind, OrderOutcome,
-    RequestId, SideEvent, StartTime,
+    EngineReport, EntryEvent, FailureKind, HeldModel, Order, OrderKind, OrderOutcome, RequestId,
+    ResponseHead, SideEvent, StartTime,
 };
 use rand::Rng;
 
@@ -67,7 +67,7 @@
 impl Simulation {
     pub(super) fn send_order(&mut self, side: usize, order: Order) {
         if self.rng.random_bool(self.faults.lost_orders) {
-            let unknown = SideEvent::Ordered(order.number, OrderOutcome::Unknown, None);
+            let unknown = SideEvent::OrderAnswered(order.number, OrderOutcome::Unknown, None);
             self.schedule(self.now + 400, SimEvent::SideInput(side, unknown));
             if self.rng.random_bool(0.5) {
                 let late = self.now + self.rng.random_range(1_000..6_000);
@@ -113,7 +113,7 @@
         };
         let accepted = outcome.0 == OrderOutcome::Accepted;
         if !late {
-            let event = SideEvent::Ordered(order.number, outcome.0, outcome.1);
+            let event = SideEvent::OrderAnswered(order.number, outcome.0, outcome.1);
             self.after_hop(SimEvent::SideInput(index, event));
         }
         if accepted {
@@ -170,9 +170,14 @@
             .order
             .as_ref()
             .is_some_and(|order| order.kind == OrderKind::Unload && order.model == model);
-        let refused = |status, elsewhere| {
-            let head = AnswerHead { status, not_run: true, elsewhere, ..AnswerHead::default() };
-            EntryEvent::Answer(id, number, head)
+        let refused = |status, other_incarnation| {
+            let head = ResponseHead {
+                status,
+                not_run: true,
+                other_incarnation,
+                ..ResponseHead::default()
+            };
+            EntryEvent::ResponseHead(id, number, head)
         };
         if caller_done {
             return;
@@ -180,7 +185,7 @@
         // A copy can be used only once.
         let resumed_from_copy = engine.up && engine.copies.remove(&(entry, id));
         let answer = if !engine.up {
-            Some(EntryEvent::Fail(id, number, FailureKind::Unreached))
+            Some(EntryEvent::DispatchFailed(id, number, FailureKind::Unreachable))
         } else if current != instance {
             Some(refused(421, true))
         } else if !engine.models.contains(&model) {
@@ -240,11 +245,11 @@
         let broken = self.rng.random_bool(self.faults.broken);
         let event = if broken {
             self.cancel(entry, id);
-            EntryEvent::Fail(id, number, FailureKind::Broken)
+            EntryEvent::DispatchFailed(id, number, FailureKind::Broken)
         } else {
             self.callers.get_mut(&(entry, id)).unwrap().first_token.get_or_insert(self.now);
-            let head = AnswerHead { status: 200, signed: true, ..AnswerHead::default() };
-            EntryEvent::Answer(id, number, head)
+            let head = ResponseHead { status: 200, signed: true, ..ResponseHead::default() };
+            EntryEvent::ResponseHead(id, number, head)
         };
         self.after_hop(SimEvent::EntryInput(entry, event));
     }
@@ -257,7 +262,7 @@
         let place = runs.iter().position(|run| run.id == id && run.number == number);
         if let Some(place) = place {
             let run = runs.remove(place);
-            self.after_hop(SimEvent::EntryInput(run.entry, EntryEvent::Finish(id, true)));
+            self.after_hop(SimEvent::EntryInput(run.entry, EntryEvent::ResponseEnded(id, true)));
         }
         self.fill_slots(index);
     }
@@ -281,9 +286,9 @@
         let runs = engine.runs.drain(..).chain(engine.queue.drain(..)).collect::<Vec<_>>();
         for run in runs {
             let event = if run.has_output {
-                EntryEvent::Broke(run.id, Some(0))
+                EntryEvent::StreamBroken(run.id, Some(0))
             } else {
-                EntryEvent::Fail(run.id, run.number, FailureKind::Broken)
+                EntryEvent::DispatchFailed(run.id, run.number, FailureKind::Broken)
             };
             self.after_hop(SimEvent::EntryInput(run.entry, event));
         }
--- a/crates/pool/tests/all/world/mod.rs
+++ b/crates/pool/tests/all/simulation/mod.rs
@@ -4,7 +4,7 @@
 //! when the weight store serves too many. An oracle checks every run, order and response.
 
 mod engines;
-mod standstill;
+mod stall;
 
 use std::{
     cmp::Reverse,
@@ -16,14 +16,14 @@
 use citronrill_base::Millis;
 use citronrill_pool::{
     Arrival, EntryEffect, EntryEvent, EntryLink, EntryProfile, HeldModel, Member, MemberChange,
-    Order, PoolEntry, PoolSide, RequestId, ServingText, SideEffect, SideEvent, TokenCount,
+    Order, PoolEntry, PoolSide, RequestId, ServingConfig, SideEffect, SideEvent, TokenCount,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-pub(crate) use self::standstill::{Stall, StallStats};
+pub(crate) use self::stall::{Stall, StallStats};
 use self::{
     engines::{Engine, RUN_MS, Run},
-    standstill::Stalls,
+    stall::Stalls,
 };
 use crate::support::{ENGINE, HOST, address, config, model};
 
@@ -139,7 +139,7 @@
     now: u64,
     rng: SmallRng,
     faults: Faults,
-    config: Arc<ServingText>,
+    config: Arc<ServingConfig>,
     entries: Vec<PoolEntry>,
     sides: Vec<PoolSide>,
     engines: Vec<Engine>,
@@ -234,12 +234,12 @@
     pub(crate) fn run(mut self, load: &Load) -> Stats {
         let start = 2_000;
         for entry in 0..self.entries.len() {
-            self.schedule(0, SimEvent::EntryInput(entry, EntryEvent::Text(self.config.clone())));
+            self.schedule(0, SimEvent::EntryInput(entry, EntryEvent::Config(self.config.clone())));
         }
         for side in 0..self.sides.len() {
-            self.schedule(0, SimEvent::SideInput(side, SideEvent::Text(self.config.clone())));
+            self.schedule(0, SimEvent::SideInput(side, SideEvent::Config(self.config.clone())));
             let entries = self.entries.len() as u32;
-            self.schedule(0, SimEvent::SideInput(side, SideEvent::Entries(entries)));
+            self.schedule(0, SimEvent::SideInput(side, SideEvent::EntryCount(entries)));
         }
         self.schedule(1, SimEvent::MemberList);
         self.schedule(2, SimEvent::Tick);
@@ -310,7 +310,7 @@
                 self.finish_order(engine, incarnation, &order)
             }
             SimEvent::ProbeReceived(side, entry) => {
-                let reply = EntryEvent::Alive(address(side as u8));
+                let reply = EntryEvent::ProbeReply(address(side as u8));
                 self.after_hop(SimEvent::EntryInput(entry, reply));
             }
             SimEvent::RunCancelled(engine, entry, id) => self.cancel_run(engine, entry, id),
@@ -350,19 +350,19 @@
         self.models.insert((entry, id), model.clone());
         let arrival = Arrival {
             id,
-            caller: format!("c{}", id.0),
+            caller_id: format!("c{}", id.0),
             host: HOST.to_owned(),
             path: path.to_owned(),
             deadline_ms: Some(limit),
             model,
-            prefix: 0,
+            prefix_hash: 0,
             tokens: TokenCount::default(),
         };
-        self.step_entry(entry, EntryEvent::Arrive(arrival));
+        self.step_entry(entry, EntryEvent::RequestArrived(arrival));
     }
 
     fn step_entry(&mut self, entry: usize, event: EntryEvent) {
-        if let EntryEvent::Finish(id, complete) = &event {
+        if let EntryEvent::ResponseEnded(id, complete) = &event {
             self.record_end(entry, *id, *complete);
         }
         self.stats.steps += 1;
@@ -374,7 +374,7 @@
 
     fn apply_effect(&mut self, entry: usize, effect: EntryEffect) {
         match effect {
-            EntryEffect::Send(id, dispatch) => {
+            EntryEffect::Dispatch(id, dispatch) => {
                 self.cancel(entry, id);
                 let engine = self.engine_at(dispatch.address);
                 self.record_dispatch(entry, id, engine);
@@ -405,31 +405,34 @@
                     self.record_violation(format!("{id:?} ended twice ({twice}) or late ({late})"));
                 }
             }
-            EntryEffect::Cut(id) => {
+            EntryEffect::Abort(id) => {
                 self.cancel(entry, id);
                 self.stats.cut += 1;
                 if let Some(caller) = self.callers.get_mut(&(entry, id)) {
                     caller.done = true;
                 }
             }
-            EntryEffect::Want(address, load_request) => {
+            EntryEffect::LoadRequest(address, load_request) => {
                 let side = self.engine_at(address);
                 let link = EntryLink(entry as u64);
-                self.after_hop(SimEvent::SideInput(side, SideEvent::Want(link, load_request)));
+                self.after_hop(SimEvent::SideInput(
+                    side,
+                    SideEvent::LoadRequest(link, load_request),
+                ));
             }
-            EntryEffect::Used(address, used) => {
+            EntryEffect::ReportUsage(address, used) => {
                 let side = self.engine_at(address);
-                self.after_hop(SimEvent::SideInput(side, SideEvent::Used(used)));
+                self.after_hop(SimEvent::SideInput(side, SideEvent::Usage(used)));
             }
             EntryEffect::Probe(address) => {
                 let side = self.engine_at(address);
                 self.after_hop(SimEvent::ProbeReceived(side, entry));
             }
-            EntryEffect::Abandon(id) => {
+            EntryEffect::Disconnect(id) => {
                 self.cancel(entry, id);
-                self.after_hop(SimEvent::EntryInput(entry, EntryEvent::Broke(id, Some(0))));
+                self.after_hop(SimEvent::EntryInput(entry, EntryEvent::StreamBroken(id, Some(0))));
             }
-            EntryEffect::Pass(_) | EntryEffect::Sides(_) | EntryEffect::Log(_) => {}
+            EntryEffect::Forward(_) | EntryEffect::ConnectSides(_) | EntryEffect::Log(_) => {}
         }
     }
 
@@ -464,23 +467,23 @@
                     let report = self.report(side);
                     self.after_hop(SimEvent::SideInput(side, SideEvent::Report(report)));
                 }
-                SideEffect::Identify(_) => {
+                SideEffect::QueryName(_) => {
                     if self.engines[side].up {
                         let name = self.engines[side].instance(side);
-                        self.after_hop(SimEvent::SideInput(side, SideEvent::Named(name)));
+                        self.after_hop(SimEvent::SideInput(side, SideEvent::NameReported(name)));
                     }
                 }
                 SideEffect::Order(order) => self.send_order(side, order),
                 SideEffect::Publish(state) => {
                     for entry in 0..self.entries.len() {
                         if !self.rng.random_bool(self.faults.lost_states) {
-                            let event = EntryEvent::Side(address(side as u8), state.clone());
+                            let event = EntryEvent::SideReport(address(side as u8), state.clone());
                             self.after_hop(SimEvent::EntryInput(entry, event));
                         }
                     }
                 }
                 SideEffect::Decline(link, name) => {
-                    let event = EntryEvent::Declined(address(side as u8), name);
+                    let event = EntryEvent::LoadDeclined(address(side as u8), name);
                     self.after_hop(SimEvent::EntryInput(link.0 as usize, event));
                 }
                 SideEffect::Log(_) => {}
@@ -541,7 +544,7 @@
         let rows = rows.map(|member| (member.instance.clone(), Some(member))).collect::<Vec<_>>();
         for entry in 0..self.entries.len() {
             let change =
-                MemberChange { whole: true, version: self.list_version, rows: rows.clone() };
+                MemberChange { complete: true, version: self.list_version, rows: rows.clone() };
             let late = self.now + self.rng.random_range(5..300);
             self.schedule(late, SimEvent::EntryInput(entry, EntryEvent::Members(change)));
         }
--- a/crates/pool/tests/all/world/standstill.rs
+++ b/crates/pool/tests/all/simulation/stall.rs
@@ -100,7 +100,7 @@
         let counted = on_stalled || engines_used.iter().any(own);
         self.stats.stalled.left += u32::from(counted);
         self.stats.stalled.left_running += u32::from(on_stalled);
-        self.step_entry(entry, EntryEvent::Leave(id));
+        self.step_entry(entry, EntryEvent::CallerLeft(id));
         self.cancel(entry, id);
     }
 
--- a/crates/pool/tests/all/standstill.rs
+++ b/crates/pool/tests/all/stalls.rs
@@ -1,12 +1,12 @@
 //! Stalled instances, and failover of the streams on them.
 
-use citronrill_pool::{EntryEffect, EntryEvent, Member, RequestId, Sending, SideLoss};
+use citronrill_pool::{Dispatch, EntryEffect, EntryEvent, Member, RequestId, SideLoss};
 use citronrill_wire::SideState;
 use rstest::rstest;
 
 use crate::{
+    simulation::{Faults, Load, Simulation, Stall, StallStats},
     support::{Bench, ENGINE, address, dispatch, member, ok, refusal, requested_load, state},
-    world::{Faults, Load, Simulation, Stall, StallStats},
 };
 
 /// Milliseconds after which no entry may dispatch a request to a stalled instance.
@@ -18,16 +18,16 @@
 fn bench(engines: u8) -> Bench {
     let mut bench = Bench::new((1..=engines).map(|index| member(index, ENGINE, &["m0"])).collect());
     for index in 1..=engines {
-        bench.step(EntryEvent::Side(address(index), state(1, &["m0"])));
+        bench.step(EntryEvent::SideReport(address(index), state(1, &["m0"])));
     }
     bench
 }
 
 /// Starts a stream on `path`; its endpoint has sent the response head and an event.
-fn start_stream(bench: &mut Bench, path: &str) -> (RequestId, Sending) {
+fn start_stream(bench: &mut Bench, path: &str) -> (RequestId, Dispatch) {
     let (id, effects) = bench.request(path, "m0");
     let sent = dispatch(&effects).unwrap().clone();
-    bench.step(EntryEvent::Answer(id, sent.number, ok()));
+    bench.step(EntryEvent::ResponseHead(id, sent.number, ok()));
     bench.step(EntryEvent::Progress(vec![id]));
     (id, sent)
 }
@@ -36,7 +36,7 @@
 fn advance_except(
     bench: &mut Bench,
     engines: u8,
-    stalled: Option<Sending>,
+    stalled: Option<Dispatch>,
     ms: u64,
 ) -> Vec<EntryEffect> {
     let mut effects = Vec::new();
@@ -46,7 +46,7 @@
         for at in
             others.filter(|at| stalled.as_ref().is_none_or(|dispatch| dispatch.address != *at))
         {
-            effects.extend(bench.step(EntryEvent::Alive(at)));
+            effects.extend(bench.step(EntryEvent::ProbeReply(at)));
         }
         effects.extend(bench.advance(20));
     }
@@ -98,7 +98,7 @@
         member(3, ENGINE, &["m2"]),
     ]);
     for (index, model) in [(1, "m0"), (2, "m1"), (3, "m2")] {
-        bench.step(EntryEvent::Side(address(index), state(1, &[model])));
+        bench.step(EntryEvent::SideReport(address(index), state(1, &[model])));
     }
     let (_, sent) = start_stream(&mut bench, "/chat/x");
     advance_except(&mut bench, 3, Some(sent), DETECTION_MS);
@@ -108,7 +108,7 @@
         requested_load(&effects).expect("a replica from cached weights is requested");
     assert_eq!(load_request.model, "m0");
     assert_ne!(at, address(1));
-    let effects = bench.step(EntryEvent::Side(address(1), state(1, &["m0"])));
+    let effects = bench.step(EntryEvent::SideReport(address(1), state(1, &["m0"])));
     assert_eq!(
         dispatch(&effects).map(|dispatch| dispatch.address),
         Some(address(1)),
@@ -122,13 +122,13 @@
     let mut bench = bench(3);
     let (id, sent) = start_stream(&mut bench, "/chat/x");
     let effects = advance_except(&mut bench, 3, Some(sent.clone()), DETECTION_MS);
-    assert!(effects.contains(&EntryEffect::Abandon(id)), "{effects:?}");
+    assert!(effects.contains(&EntryEffect::Disconnect(id)), "{effects:?}");
     let again = advance_except(&mut bench, 3, Some(sent.clone()), DETECTION_MS);
-    assert!(!again.contains(&EntryEffect::Abandon(id)), "it is abandoned only once");
-    let effects = bench.step(EntryEvent::Broke(id, Some(4)));
+    assert!(!again.contains(&EntryEffect::Disconnect(id)), "it is abandoned only once");
+    let effects = bench.step(EntryEvent::StreamBroken(id, Some(4)));
     let next = dispatch(&effects).unwrap();
     assert_ne!(next.address, sent.address);
-    assert_eq!(next.resume.and_then(|resume| resume.after), Some(4));
+    assert_eq!(next.resume.and_then(|resume| resume.last_event), Some(4));
 }
 
 /// An engine processes a long prompt, or the stream's own connection is silent: the side replies to
@@ -138,7 +138,7 @@
     let mut bench = bench(3);
     let (id, _) = start_stream(&mut bench, "/chat/x");
     let effects = advance_except(&mut bench, 3, None, 2 * DETECTION_MS);
-    assert!(!effects.contains(&EntryEffect::Abandon(id)), "{effects:?}");
+    assert!(!effects.contains(&EntryEffect::Disconnect(id)), "{effects:?}");
 }
 
 /// A run that may happen only once resumed from its copy while its endpoint was stalled: when the
@@ -150,16 +150,16 @@
     let mut bench = bench(3);
     if copied {
         let (id, _) = start_stream(&mut bench, "/draft/x");
-        bench.step(EntryEvent::Broke(id, Some(0)));
+        bench.step(EntryEvent::StreamBroken(id, Some(0)));
         for index in 1..=3 {
-            bench.step(EntryEvent::Side(address(index), state(1, &["m0"])));
+            bench.step(EntryEvent::SideReport(address(index), state(1, &["m0"])));
         }
     }
     let (id, sent) = start_stream(&mut bench, "/draft/x");
     assert_eq!(sent.backup.is_some(), copied);
     let effects = advance_except(&mut bench, 3, Some(sent), 2 * DETECTION_MS);
-    assert!(!effects.contains(&EntryEffect::Abandon(id)), "{effects:?}");
-    assert_eq!(bench.entry.in_hand(), 1);
+    assert!(!effects.contains(&EntryEffect::Disconnect(id)), "{effects:?}");
+    assert_eq!(bench.entry.in_flight(), 1);
 }
 
 /// An entry that was stalled itself took all instances for stalled, as it had not read their
@@ -171,7 +171,7 @@
     bench.advance(200);
     bench.now += 6_000;
     let effects = bench.step(EntryEvent::Tick);
-    assert!(!effects.contains(&EntryEffect::Abandon(id)), "{effects:?}");
+    assert!(!effects.contains(&EntryEffect::Disconnect(id)), "{effects:?}");
 }
 
 /// An entry without requests ticks rarely. It took these pauses for stalls of its own, and
@@ -206,8 +206,12 @@
     let wide = |index| Member { slots: 96, ..member(index, ENGINE, &["m0"]) };
     let requested = (0..8).map(|adapter| {
         let mut bench = Bench::new(vec![wide(1), wide(2)]);
-        bench.step(EntryEvent::Side(address(1), SideState { active: 20, ..state(1, &["m0"]) }));
-        bench.step(EntryEvent::Side(address(2), SideState { active: 4, ..state(1, &["m0"]) }));
+        bench.step(EntryEvent::SideReport(
+            address(1),
+            SideState { active: 20, ..state(1, &["m0"]) },
+        ));
+        bench
+            .step(EntryEvent::SideReport(address(2), SideState { active: 4, ..state(1, &["m0"]) }));
         let (_, effects) = bench.request("/draft/x", &format!("m0/a{adapter}"));
         requested_load(&effects).map(|(at, _)| at)
     });
--- a/crates/pool/tests/all/support.rs
+++ b/crates/pool/tests/all/support.rs
@@ -4,9 +4,9 @@
 
 use citronrill_base::Millis;
 use citronrill_pool::{
-    AnswerHead, Arrival, CallerLimits, EngineReport, EngineSpec, EntryEffect, EntryEvent,
-    EntryProfile, HeldModel, Member, MemberChange, ModelSpec, PoolEntry, Reason, Repeat, RequestId,
-    Route, Sending, Service, ServingText, TokenCount,
+    Arrival, CallerLimits, Dispatch, EngineReport, EngineSpec, EntryEffect, EntryEvent,
+    EntryProfile, HeldModel, Member, MemberChange, ModelSpec, PoolEntry, Reason, RequestId,
+    ResponseHead, RetryPolicy, Route, Service, ServingConfig, TokenCount,
 };
 use citronrill_wire::{LoadRequest, ModelState, SideState};
 
@@ -25,37 +25,42 @@
     }
 }
 
-pub(crate) fn route(prefix: &str, service: &str, repeat: Repeat, attempts: u32) -> Route {
+pub(crate) fn route(
+    prefix: &str,
+    service: &str,
+    retry_policy: RetryPolicy,
+    max_attempts: u32,
+) -> Route {
     Route {
         name: prefix.trim_matches('/').to_owned(),
         host: HOST.to_owned(),
         prefix: prefix.to_owned(),
-        repeat,
+        retry_policy,
         timeout_ms: 5_000,
         target_ms: 500,
         gap_ms: None,
         rank: 0,
         shares: vec![(service.to_owned(), 1)],
-        attempts,
+        max_attempts,
     }
 }
 
 /// A configuration with models `m0` to `m9` of 70,000 MB each, and one route per retry policy.
-pub(crate) fn config(version: u64) -> Arc<ServingText> {
+pub(crate) fn config(version: u64) -> Arc<ServingConfig> {
     let models = (0..10).map(|index| model(&format!("m{index}"), 70_000.0)).collect();
-    Arc::new(ServingText {
+    Arc::new(ServingConfig {
         version,
         routes: vec![
-            route("/chat/", ENGINE, Repeat::ResumableStream, 2),
-            route("/draft/", ENGINE, Repeat::Stream, 1),
-            route("/status/", PLAIN, Repeat::Idempotent, 2),
-            route("/book/", PLAIN, Repeat::Once, 1),
+            route("/chat/", ENGINE, RetryPolicy::ResumableStream, 2),
+            route("/draft/", ENGINE, RetryPolicy::Stream, 1),
+            route("/status/", PLAIN, RetryPolicy::Idempotent, 2),
+            route("/book/", PLAIN, RetryPolicy::Once, 1),
         ],
         services: vec![
             Service {
                 name: ENGINE.to_owned(),
-                health: "/health".to_owned(),
-                connections: 200,
+                health_path: "/health".to_owned(),
+                max_connections: 200,
                 engine: Some(EngineSpec {
                     slots: 24,
                     weights_mb: 200_000.0,
@@ -68,8 +73,8 @@
             },
             Service {
                 name: PLAIN.to_owned(),
-                health: "/health".to_owned(),
-                connections: 100,
+                health_path: "/health".to_owned(),
+                max_connections: 100,
                 engine: None,
             },
         ],
@@ -169,8 +174,8 @@
     /// An entry with a configuration and a member list.
     pub(crate) fn new(members: Vec<Member>) -> Bench {
         let mut bench = Bench::unconfigured();
-        bench.step(EntryEvent::Text(config(1)));
-        bench.step(EntryEvent::TextCurrent(true));
+        bench.step(EntryEvent::Config(config(1)));
+        bench.step(EntryEvent::ConfigCurrent(true));
         bench.set_members(1, members);
         bench
     }
@@ -194,7 +199,7 @@
     pub(crate) fn set_members(&mut self, version: u64, members: Vec<Member>) -> Vec<EntryEffect> {
         let rows =
             members.into_iter().map(|member| (member.instance.clone(), Some(member))).collect();
-        self.step(EntryEvent::Members(MemberChange { whole: true, version, rows }))
+        self.step(EntryEvent::Members(MemberChange { complete: true, version, rows }))
     }
 
     /// Ticks every 20 ms for `ms`.
@@ -240,38 +245,38 @@
         self.next += 1;
         Arrival {
             id,
-            caller: format!("c{}", id.0),
+            caller_id: format!("c{}", id.0),
             host: HOST.to_owned(),
             path: path.to_owned(),
             deadline_ms: Some(5_000),
             model: model.to_owned(),
-            prefix: 0,
+            prefix_hash: 0,
             tokens: TokenCount::default(),
         }
     }
 
     fn arrive(&mut self, arrival: Arrival) -> (RequestId, Vec<EntryEffect>) {
         let id = arrival.id;
-        (id, self.step(EntryEvent::Arrive(arrival)))
+        (id, self.step(EntryEvent::RequestArrived(arrival)))
     }
 
-    pub(crate) fn respond(&mut self, id: RequestId, head: AnswerHead) -> Vec<EntryEffect> {
-        self.step(EntryEvent::Answer(id, 1, head))
+    pub(crate) fn respond(&mut self, id: RequestId, head: ResponseHead) -> Vec<EntryEffect> {
+        self.step(EntryEvent::ResponseHead(id, 1, head))
     }
 }
 
-pub(crate) fn ok() -> AnswerHead {
-    AnswerHead { status: 200, signed: true, ..AnswerHead::default() }
+pub(crate) fn ok() -> ResponseHead {
+    ResponseHead { status: 200, signed: true, ..ResponseHead::default() }
 }
 
-pub(crate) fn not_run(status: u16) -> AnswerHead {
-    AnswerHead { status, not_run: true, ..AnswerHead::default() }
+pub(crate) fn not_run(status: u16) -> ResponseHead {
+    ResponseHead { status, not_run: true, ..ResponseHead::default() }
 }
 
 /// Returns the first dispatch among the effects.
-pub(crate) fn dispatch(effects: &[EntryEffect]) -> Option<&Sending> {
+pub(crate) fn dispatch(effects: &[EntryEffect]) -> Option<&Dispatch> {
     effects.iter().find_map(|effect| match effect {
-        EntryEffect::Send(_, dispatch) => Some(dispatch),
+        EntryEffect::Dispatch(_, dispatch) => Some(dispatch),
         _ => None,
     })
 }
@@ -287,11 +292,11 @@
 /// Returns the first load request among the effects and the endpoint it is addressed to.
 pub(crate) fn requested_load(effects: &[EntryEffect]) -> Option<(SocketAddr, &LoadRequest)> {
     effects.iter().find_map(|effect| match effect {
-        EntryEffect::Want(address, load_request) => Some((*address, load_request)),
+        EntryEffect::LoadRequest(address, load_request) => Some((*address, load_request)),
         _ => None,
     })
 }
 
 pub(crate) fn forwards(effects: &[EntryEffect]) -> bool {
-    effects.iter().any(|effect| matches!(effect, EntryEffect::Pass(_)))
+    effects.iter().any(|effect| matches!(effect, EntryEffect::Forward(_)))
 }
--- a/crates/pool/tests/all/pace.rs
+++ b/crates/pool/tests/all/ticks.rs
@@ -1,21 +1,21 @@
 //! Scheduling of timer ticks.
 
 use citronrill_base::Millis;
-use citronrill_pool::{Due, Pace};
+use citronrill_pool::{CheckTimer, DueCheck};
 
 /// Counts the urgent and full ticks due in one second, polled each millisecond with an interval of
 /// 20 ms. `event` says whether an event arrives in that millisecond.
 fn ticks(event: impl Fn(u64) -> bool) -> (usize, usize) {
-    let mut pace = Pace::default();
+    let mut timer = CheckTimer::default();
     let due = (1..=1_000).map(|ms| {
         if event(ms) {
-            pace.note_event();
+            timer.note_event();
         }
-        pace.take(20, Millis(ms))
+        timer.take_due(20, Millis(ms))
     });
     let due = due.collect::<Vec<_>>();
     let count = |which| due.iter().filter(|tick| **tick == which).count();
-    (count(Due::Look), count(Due::Whole))
+    (count(DueCheck::Urgent), count(DueCheck::Full))
 }
 
 /// Under input without a pause of 20 ms, an entry rarely ran its timers and missed deadlines.
--- a/crates/pool/tests/all/waiting.rs
+++ b/crates/pool/tests/all/waiting.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use citronrill_pool::{EntryEffect, EntryEvent, Member, Reason, Repeat, Route, ServingText};
+use citronrill_pool::{EntryEffect, EntryEvent, Member, Reason, RetryPolicy, Route, ServingConfig};
 use citronrill_wire::{ModelState, SideState};
 use rstest::rstest;
 
@@ -11,7 +11,7 @@
 };
 
 /// A configuration whose callers leave a stream after a silence of 3.2 s: eight gaps of 400 ms.
-fn config_with_gaps() -> Arc<ServingText> {
+fn config_with_gaps() -> Arc<ServingConfig> {
     let mut config = (*config(1)).clone();
     let with_gap = |route: &mut Route| {
         route.gap_ms = Some(400);
@@ -25,7 +25,7 @@
 /// weight store has capacity for one more load.
 fn bench(load_ms: u64) -> Bench {
     let mut bench = Bench::unconfigured();
-    bench.step(EntryEvent::Text(config_with_gaps()));
+    bench.step(EntryEvent::Config(config_with_gaps()));
     let bare = |index| Member { on_disk: Vec::new(), ..member(index, ENGINE, &["m0"]) };
     bench.set_members(1, (1..21).map(bare).collect());
     let bare = SideState { on_disk: Vec::new(), ..state(1, &["m0"]) };
@@ -37,7 +37,7 @@
     };
     for index in 1..21 {
         let state = if index == 2 { loading.clone() } else { bare.clone() };
-        bench.step(EntryEvent::Side(address(index), state));
+        bench.step(EntryEvent::SideReport(address(index), state));
     }
     bench
 }
@@ -52,7 +52,7 @@
     let mut bench = bench(load_ms);
     let (_, effects) = bench.request_with_deadline("/draft/x", "m5", 15_000);
     let (reason, retry_ms) = refusal(&effects).unwrap();
-    assert_eq!(reason, Reason::TooFar);
+    assert_eq!(reason, Reason::TooLate);
     let retry_ms = retry_ms.unwrap();
     assert!((load_ms..load_ms + load_ms / 4).contains(&retry_ms), "{retry_ms}");
     assert!(requested_load(&effects).is_none(), "it is being loaded and not requested again");
@@ -66,7 +66,7 @@
     assert!(refusal(&effects).is_none() && requested_load(&effects).is_none());
     bench.now += 1_900;
     let loaded_state = SideState { on_disk: Vec::new(), ..state(2, &["m0", "m5"]) };
-    let effects = bench.step(EntryEvent::Side(address(2), loaded_state));
+    let effects = bench.step(EntryEvent::SideReport(address(2), loaded_state));
     assert_eq!(dispatch(&effects).unwrap().instance, "i2");
 }
 
@@ -85,7 +85,7 @@
             on_disk: Vec::new(),
             ..state(1, &["m0"])
         };
-        let effects = bench.step(EntryEvent::Side(address(2), late));
+        let effects = bench.step(EntryEvent::SideReport(address(2), late));
         let effects = [effects, bench.step(EntryEvent::Tick)].concat();
         let refuses =
             |effect: &EntryEffect| matches!(effect, EntryEffect::Refuse(other, _) if *other == id);
@@ -96,7 +96,7 @@
     }
     let (after, reason, retry_ms) = refused.unwrap();
     assert!((2_400..3_100).contains(&after), "{after}");
-    assert_eq!(reason, Reason::TooFar);
+    assert_eq!(reason, Reason::TooLate);
     assert!(retry_ms.unwrap() >= 500);
 }
 
@@ -107,7 +107,7 @@
     let mut bench = bench(4_000);
     let mut plain = (*config(2)).clone();
     plain.routes.iter_mut().for_each(|route| route.timeout_ms = 15_000);
-    bench.step(EntryEvent::Text(Arc::new(plain)));
+    bench.step(EntryEvent::Config(Arc::new(plain)));
     let (_, effects) = bench.request_with_deadline("/draft/x", "m5", 15_000);
     assert!(refusal(&effects).is_none());
 }
@@ -119,8 +119,8 @@
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
     let busy = ModelState { name: "m0".to_owned(), rate_milli: 40_000, ..ModelState::default() };
     let holder = SideState { models: vec![busy], ..state(1, &[]) };
-    bench.step(EntryEvent::Side(address(1), holder));
-    bench.step(EntryEvent::Side(address(2), state(1, &["m1"])));
+    bench.step(EntryEvent::SideReport(address(1), holder));
+    bench.step(EntryEvent::SideReport(address(2), state(1, &["m1"])));
     let effects = bench.advance(20);
     let (at, replica) = requested_load(&effects).unwrap();
     assert_eq!((at, replica.model.as_str(), replica.adapter.as_str()), (address(2), "m0", ""));
@@ -137,12 +137,12 @@
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])]);
     let mut holder = state(1, &["m0"]);
     holder.models[0].adapters = vec!["a1".to_owned()];
-    bench.step(EntryEvent::Side(address(1), holder));
-    bench.step(EntryEvent::Side(address(2), state(1, &["m0"])));
+    bench.step(EntryEvent::SideReport(address(1), holder));
+    bench.step(EntryEvent::SideReport(address(2), state(1, &["m0"])));
     let (_, effects) = bench.request("/draft/x", "m0/a1");
     assert_eq!(dispatch(&effects).unwrap().instance, "i1");
     bench.now += 1_200;
-    bench.step(EntryEvent::Side(address(2), state(1, &["m0"])));
+    bench.step(EntryEvent::SideReport(address(2), state(1, &["m0"])));
     let (_, effects) = bench.request("/draft/x", "m0/a1");
     let (at, load_request) = requested_load(&effects).unwrap();
     assert_eq!((at, load_request.adapter.as_str()), (address(2), "a1"));
@@ -156,11 +156,11 @@
 /// configures.
 #[test]
 fn gap_does_not_apply_to_plain_calls() {
-    let with_gap = Route { gap_ms: Some(400), ..route("/book/", "plain", Repeat::Once, 1) };
+    let with_gap = Route { gap_ms: Some(400), ..route("/book/", "plain", RetryPolicy::Once, 1) };
     let mut config = (*config(1)).clone();
     config.routes = vec![with_gap];
     let mut bench = Bench::unconfigured();
-    bench.step(EntryEvent::Text(Arc::new(config)));
+    bench.step(EntryEvent::Config(Arc::new(config)));
     bench.set_members(1, vec![member(1, "plain", &[])]);
     let (_, effects) = bench.request_with_deadline("/book/x", "", 300);
     assert_eq!(dispatch(&effects).unwrap().remaining_ms, 300);
