--- a/benches/path.rs
+++ b/benches/path.rs
@@ -32,7 +32,8 @@
     for _ in 0..3 {
         assert_eq!(deployment.chat(0, "north-key", "alpha", "wake up", false).0, 200);
     }
-    let holder = deployment.engines.iter().find(|engine| !engine.models().is_empty()).unwrap();
+    let holder =
+        deployment.engines.iter().find(|engine| !engine.ready_models().is_empty()).unwrap();
     latency(deployment.entries[0].http_address(), holder.address());
     streams("direct", holder.address());
     streams("through entry and side", deployment.entries[0].http_address());
--- a/crates/decide/src/call.rs
+++ b/crates/decide/src/call.rs
@@ -50,7 +50,7 @@
 
 impl Decline {
     /// Returns the name used in logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Decline::Busy => "busy",
             Decline::Leaving => "leaving",
@@ -75,13 +75,13 @@
     ];
 
     /// Returns the code used in messages between processes.
-    pub fn number(self) -> u32 {
+    pub fn code(self) -> u32 {
         Self::ALL.iter().position(|it| *it == self).unwrap_or(0) as u32
     }
 
     /// Returns the reason for a code; `None` for a code of a later release.
-    pub fn from_number(number: u32) -> Option<Decline> {
-        Self::ALL.get(number as usize).copied()
+    pub fn from_code(code: u32) -> Option<Decline> {
+        Self::ALL.get(code as usize).copied()
     }
 }
 
--- a/crates/decide/src/entry/claims.rs
+++ b/crates/decide/src/entry/claims.rs
@@ -20,17 +20,17 @@
 pub(super) struct Claim {
     key: String,
     token: u64,
-    content: u64,
+    body_hash: u64,
     version: u64,
 }
 
 impl Claim {
-    pub(super) fn new(org: &str, hash: u64, content: u64, token: u64) -> Claim {
-        Claim { key: claim_key(org, hash), token, content, version: 0 }
+    pub(super) fn new(org: &str, hash: u64, body_hash: u64, token: u64) -> Claim {
+        Claim { key: claim_key(org, hash), token, body_hash, version: 0 }
     }
 
     fn row(&self) -> ClaimRow {
-        ClaimRow { token: self.token, content: self.content, ..ClaimRow::default() }
+        ClaimRow { token: self.token, body_hash: self.body_hash, ..ClaimRow::default() }
     }
 }
 
@@ -99,8 +99,8 @@
     /// with what is known about the other call.
     fn answer_duplicate(&mut self, id: RequestId, found: &ClaimRow, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let content = request.claim.take().map(|claim| claim.content);
-        if content != Some(found.content) {
+        let body_hash = request.claim.take().map(|claim| claim.body_hash);
+        if body_hash != Some(found.body_hash) {
             return self.refuse(id, Refusal::not_run(RefusalKind::KeyReused), out);
         }
         match found.state() {
@@ -114,7 +114,7 @@
                 out.push(Effect::Replay(id, answer));
             }
             ClaimState::AnsweredLarge => {
-                let kind = RefusalKind::AnswerLarge;
+                let kind = RefusalKind::AnswerTooLarge;
                 self.refuse(id, Refusal { kind, ran: Ran::Yes, retry_ms: None }, out);
             }
             ClaimState::Open => {
--- a/crates/decide/src/entry/cleanup.rs
+++ b/crates/decide/src/entry/cleanup.rs
@@ -5,10 +5,10 @@
 use citronrill_base::{EndpointKey, Set, Txn};
 use prost::Message;
 
-use super::{Effect, Entry, Listed, Purpose};
+use super::{Effect, Entry, ListedInstance, Purpose};
 use crate::{
     log::LogEvent,
-    rows::{EndpointRow, WEIGHTS, cache_key, endpoint_key, member_key, model_key, share_key},
+    rows::{EndpointRow, PERMITS, cache_key, endpoint_key, member_key, model_key, share_key},
 };
 
 /// An instance counts as gone after it was absent from the instance list for this long, in
@@ -21,7 +21,7 @@
 const CLEANUP_BATCH: usize = 2;
 
 impl Entry {
-    pub(super) fn update_instances(&mut self, list: Vec<Listed>, out: &mut Vec<Effect>) {
+    pub(super) fn update_instances(&mut self, list: Vec<ListedInstance>, out: &mut Vec<Effect>) {
         self.instances_known = true;
         self.instances =
             list.into_iter().map(|instance| (instance.peer.name.clone(), instance)).collect();
@@ -117,23 +117,23 @@
             let mut model_row = held.row.unwrap_or_default();
             model_row.holders.retain(|holder| *holder != name);
             txn.put(model_key(&replica.model), held.version, Some(model_row.encode_to_vec()));
-            let share = (replica.org.clone(), replica.bucket);
+            let share = (replica.org.clone(), replica.share_part);
             *shares.entry(share).or_insert(0) += replica.memory_mb;
         }
-        for ((org, bucket), freed) in shares {
+        for ((org, part), freed) in shares {
             let org_key = self.view.registry.organisations.intern(&org);
-            let held = self.view.share(org_key, bucket);
+            let held = self.view.share(org_key, part);
             let mut share = held.row.unwrap_or_default();
             share.used_mb = share.used_mb.saturating_sub(freed);
-            txn.put(share_key(&org, bucket), held.version, Some(share.encode_to_vec()));
+            txn.put(share_key(&org, part), held.version, Some(share.encode_to_vec()));
         }
-        let mut weights = self.view.weights.row.clone().unwrap_or_default();
-        let before = weights.permits.len() + weights.waiters.len();
-        weights.permits.retain(|permit| permit.endpoint != name);
-        weights.waiters.retain(|waiter| waiter.endpoint != name);
-        if weights.permits.len() + weights.waiters.len() != before {
-            let version = self.view.weights.version;
-            txn.put(WEIGHTS, version, Some(weights.encode_to_vec()));
+        let mut permits_row = self.view.permits_row.row.clone().unwrap_or_default();
+        let before = permits_row.permits.len() + permits_row.waiters.len();
+        permits_row.permits.retain(|permit| permit.endpoint != name);
+        permits_row.waiters.retain(|waiter| waiter.endpoint != name);
+        if permits_row.permits.len() + permits_row.waiters.len() != before {
+            let version = self.view.permits_row.version;
+            txn.put(PERMITS, version, Some(permits_row.encode_to_vec()));
         }
         out.push(Effect::Log(LogEvent::new("clean_up").with("endpoint", name)));
         self.commit(Purpose::Cleanup, None, txn, out);
--- a/crates/decide/src/entry/config.rs
+++ b/crates/decide/src/entry/config.rs
@@ -41,7 +41,8 @@
     pub(super) fn advance_config(&mut self, out: &mut Vec<Effect>) {
         while let Some(delta) = self.config.deltas.get(&(self.catalogue.version + 1)) {
             let head_version = self.config.head.as_ref().map_or(0, |head| head.version);
-            if delta.whole || self.catalogue.version == 0 || delta.version > head_version {
+            if delta.content_omitted || self.catalogue.version == 0 || delta.version > head_version
+            {
                 break;
             }
             let step = Delta {
@@ -68,7 +69,7 @@
         });
         if head.version > known && !fetching {
             self.config.fetching = Some((head.version, self.now));
-            out.push(Effect::FetchText(head.clone()));
+            out.push(Effect::FetchConfig(head.clone()));
         }
     }
 
@@ -97,7 +98,7 @@
                 self.catalogue = catalogue;
                 self.config.source = source;
                 self.config.fetching = None;
-                out.push(Effect::Configured(version));
+                out.push(Effect::ConfigActivated(version));
                 out.push(Effect::Log(LogEvent::new("config").with("version", version)));
                 self.refuse_removed(out);
             }
@@ -114,7 +115,7 @@
     fn refuse_removed(&mut self, out: &mut Vec<Effect>) {
         let removed = self.queues.keys().copied().filter(|target| !self.is_served(*target));
         for target in removed.collect::<Vec<_>>() {
-            self.refuse_waiting(target, RefusalKind::Removed, out);
+            self.refuse_waiting(target, RefusalKind::NoLongerConfigured, out);
         }
     }
 
--- a/crates/decide/src/entry/home.rs
+++ b/crates/decide/src/entry/coordinator.rs
@@ -11,11 +11,11 @@
 
 use super::{Effect, Entry, Purpose, Target, refusal_of};
 use crate::{
-    keepalive::{Learned, Traffic},
+    keepalive::{Traffic, TrafficStats},
     log::LogEvent,
-    placement::{Ask, NoPlace, Scene, load_txn, plan},
+    placement::{PlacementError, PlacementInput, ReplicaRequest, load_txn, plan},
     refusal::RefusalKind,
-    rows::{Phase, WEIGHTS, endpoint_key},
+    rows::{PERMITS, Phase, endpoint_key},
 };
 
 /// Time that a coordinator has to act on a demand before the next one is asked, in milliseconds.
@@ -129,7 +129,7 @@
 
     /// Address of the coordinator to ask; `None` if this process decides itself.
     fn coordinator(&self, model: &str, attempts: usize) -> Option<String> {
-        if !self.policies.homes || attempts >= COORDINATOR_ATTEMPTS {
+        if !self.policies.coordinators || attempts >= COORDINATOR_ATTEMPTS {
             return None;
         }
         let order = self.coordinators(model);
@@ -147,8 +147,8 @@
         }
         let Some(spec) = self.catalogue.models.get(&model) else { return };
         let Some(org) = self.catalogue.organisations.get(&spec.org) else { return };
-        let learned = self.view.model_row(model).map(Learned::from_row).unwrap_or_default();
-        let keep = self.policies.keep.keep_ms(&learned, spec, org);
+        let stats = self.view.model_row(model).map(TrafficStats::from_row).unwrap_or_default();
+        let keep = self.policies.keep_alive.keep_ms(&stats, spec, org);
         let pause = (keep / REPORT_DIVISOR).clamp(REPORT_MIN_MS, REPORT_MAX_MS);
         let name = spec.name.clone();
         let base = spec.base;
@@ -175,7 +175,7 @@
     pub(super) fn coordination(&mut self, model: ModelKey) -> &mut Coordination {
         let now = self.now;
         let row = self.view.model_row(model);
-        let traffic = || Traffic::adopt(row, now);
+        let traffic = || Traffic::new(row, now);
         self.coordinations.entry(model).or_insert_with(|| Coordination {
             traffic: traffic(),
             demand: None,
@@ -215,7 +215,7 @@
         }
         if !self.announce_existing(model, out) {
             let model = demand.model;
-            out.push(Effect::Heard { to: demand.from, model });
+            out.push(Effect::AckDemand { to: demand.from, model });
         }
         self.decide_load(model, out);
     }
@@ -291,10 +291,10 @@
         if self.coordinations.get(&model).is_some_and(waits) {
             return;
         }
-        if let Some(copies) = self.replicas_needed(model) {
+        if let Some(replicas) = self.replicas_needed(model) {
             let slack_ms = demand.deadline.since(self.now);
-            let ask = Ask { model, copies, slack_ms, class: demand.class };
-            self.try_load(&ask, out);
+            let request = ReplicaRequest { model, replicas, slack_ms, class: demand.class };
+            self.try_load(&request, out);
         }
     }
 
@@ -324,42 +324,43 @@
         (now.since(since) >= SCALE_OUT_MS).then_some(decided + 1)
     }
 
-    fn try_load(&mut self, ask: &Ask, out: &mut Vec<Effect>) {
+    fn try_load(&mut self, request: &ReplicaRequest, out: &mut Vec<Effect>) {
         let busy = self.pending_txns.values().filter_map(|pending| pending.endpoint).collect();
         // Constant until a conflict, so that the plan needs the rows that were read for it.
         let conflicts =
-            self.coordinations.get(&ask.model).map_or(0, |coordination| coordination.conflicts);
-        let name = format!("{}/{}/{conflicts}", self.model_name(ask.model), self.profile.session);
-        let salt = hash_bytes(name.as_bytes());
+            self.coordinations.get(&request.model).map_or(0, |coordination| coordination.conflicts);
+        let name =
+            format!("{}/{}/{conflicts}", self.model_name(request.model), self.profile.session);
+        let tie_breaker = hash_bytes(name.as_bytes());
         let order = self.new_order(2);
-        let scene = Scene {
+        let input = PlacementInput {
             view: &self.view,
             catalogue: &self.catalogue,
             busy: &busy,
-            avoided: &self.departing,
-            parts: self.profile.share_parts,
-            permits: self
+            excluded: &self.departing,
+            share_parts: self.profile.share_parts,
+            take_permit: self
                 .coordinations
-                .get(&ask.model)
+                .get(&request.model)
                 .is_none_or(|coordination| coordination.conflicts == 0),
-            salt,
+            tie_breaker,
         };
-        match plan(&scene, self.policies.placement.as_ref(), ask) {
+        match plan(&input, self.policies.placement.as_ref(), request) {
             Ok(plan) => {
-                let txn = load_txn(&scene, &plan, ask, order);
+                let txn = load_txn(&input, &plan, request, order);
                 let keys = txn.checks.iter().map(|check| check.key.clone());
-                let mut keys = keys.filter(|key| key != WEIGHTS).collect::<Vec<_>>();
-                keys.push(WEIGHTS.to_owned());
-                if !self.was_read_recently(ask.model, &keys) {
-                    self.coordination(ask.model).pending_read = Some((self.now, keys.clone()));
+                let mut keys = keys.filter(|key| key != PERMITS).collect::<Vec<_>>();
+                keys.push(PERMITS.to_owned());
+                if !self.was_read_recently(request.model, &keys) {
+                    self.coordination(request.model).pending_read = Some((self.now, keys.clone()));
                     return out.push(Effect::Read(keys));
                 }
-                let event = LogEvent::new("load").with("model", self.model_name(ask.model));
+                let event = LogEvent::new("load").with("model", self.model_name(request.model));
                 let name = self.view.endpoint_name(plan.endpoint);
                 out.push(Effect::Log(event.with("endpoint", name)));
-                self.commit(Purpose::Load(ask.model), Some(plan.endpoint), txn, out);
+                self.commit(Purpose::Load(request.model), Some(plan.endpoint), txn, out);
             }
-            Err(reason) => self.placement_failed(ask.model, reason, out),
+            Err(reason) => self.placement_failed(request.model, reason, out),
         }
     }
 
@@ -396,20 +397,20 @@
         self.view.registry.models.name(model)
     }
 
-    fn placement_failed(&mut self, model: ModelKey, reason: NoPlace, out: &mut Vec<Effect>) {
-        if reason == NoPlace::ShareUsed && self.unload_for_share(model, out) {
+    fn placement_failed(&mut self, model: ModelKey, reason: PlacementError, out: &mut Vec<Effect>) {
+        if reason == PlacementError::ShareUsed && self.unload_for_share(model, out) {
             return;
         }
         let serving = self.view.replicas(model).any(|(_, phase)| phase == Phase::Ready);
         let Some(kind) = refusal_of(reason).filter(|_| !serving) else {
-            if reason == NoPlace::Enough {
+            if reason == PlacementError::AlreadyPlaced {
                 self.coordination(model).demand = None;
             }
             return;
         };
         let name = self.model_name(model).to_owned();
         out.push(Effect::Log(
-            LogEvent::new("no_place").with("model", &name).with("why", kind.word()),
+            LogEvent::new("no_place").with("model", &name).with("why", kind.as_str()),
         ));
         let coordination = self.coordination(model);
         coordination.demand = None;
@@ -417,7 +418,7 @@
             if to == self.profile.address {
                 self.refuse_waiting(Target::Model(model), kind, out);
             } else {
-                out.push(Effect::Verdict { to, model: name.clone(), kind });
+                out.push(Effect::RefuseLoad { to, model: name.clone(), kind });
             }
         }
     }
@@ -526,7 +527,10 @@
         let kept = kept.collect::<Set<_>>();
         let busy = |coordination: &Coordination| coordination.demand.is_some();
         self.coordinations.retain(|model, coordination| kept.contains(model) || busy(coordination));
-        let warm = self.view.warm_models().filter(|model| !self.coordinations.contains_key(model));
+        let warm = self
+            .view
+            .models_with_replicas()
+            .filter(|model| !self.coordinations.contains_key(model));
         let warm =
             warm.filter(|model| self.is_coordinator(self.model_name(*model))).collect::<Vec<_>>();
         for model in warm {
--- a/crates/decide/src/entry/mod.rs
+++ b/crates/decide/src/entry/mod.rs
@@ -3,12 +3,12 @@
 mod claims;
 mod cleanup;
 mod config;
-mod home;
+mod coordinator;
 mod queue;
-mod release;
 mod requests;
 mod state;
 mod types;
+mod unload;
 
 use std::collections::BTreeSet;
 
@@ -22,20 +22,23 @@
 pub(crate) use self::types::Target;
 pub use self::{
     claims::ANSWER_LIMIT,
-    home::Demand,
-    types::{Answer, Arrival, Effect, EntryProfile, Event, Listed, Policies, RequestId, Wish},
+    coordinator::Demand,
+    types::{
+        Answer, Effect, EntryProfile, Event, IncomingRequest, ListedInstance, Policies, RequestId,
+        RequestTarget,
+    },
 };
 use self::{
     claims::Claim,
     config::ConfigState,
-    home::{Coordination, ReportedDemand},
+    coordinator::{Coordination, ReportedDemand},
     queue::WaitQueue,
 };
 use crate::{
     call::CancelAnswer,
     feed::{Feed, Page, Peer, STALE_MS},
     log::LogEvent,
-    placement::NoPlace,
+    placement::PlacementError,
     refusal::{Ran, Refusal, RefusalKind},
     rows::{MemberRow, member_key},
     view::{Change, View},
@@ -136,7 +139,7 @@
     cooldowns: Map<ModelKey, (u32, Millis)>,
     feed: Feed,
     table_reply: Option<Millis>,
-    instances: Map<String, Listed>,
+    instances: Map<String, ListedInstance>,
     absent_since: Map<String, Millis>,
     owner_epochs: Map<EndpointKey, u64>,
     instances_known: bool,
@@ -200,42 +203,46 @@
         self.now = self.now.max(now);
         match event {
             Event::Tick { minute } => self.tick(minute, out),
-            Event::Rows(rows) => self.absorb_table_rows(&rows, out),
-            Event::Told(rows) => self.absorb_announced_rows(&rows, out),
-            Event::Fed(id, page) => self.feed_answered(id, page, out),
-            Event::Pull { pull, since } => self.feed_pulled(pull, since, out),
-            Event::Text { version, text } => self.config_fetched(version, text, out),
+            Event::Rows(rows) => self.apply_table_rows(&rows, out),
+            Event::Announced(rows) => self.apply_announced_rows(&rows, out),
+            Event::FeedAnswer(id, page) => self.feed_answered(id, page, out),
+            Event::FeedPull { pull, since } => self.feed_pulled(pull, since, out),
+            Event::Config { version, source } => self.config_fetched(version, source, out),
             Event::Instances(list) => self.update_instances(list, out),
-            Event::Arrive(arrival) => self.arrive(arrival, out),
-            Event::List { id, key } => self.list_models(id, &key, out),
-            Event::Began(id, call) if self.is_current(id, call) => self.response_started(id),
-            Event::Ended { id, call, load, answer } if self.is_current(id, call) => {
+            Event::Request(request) => self.handle_request(request, out),
+            Event::ListModels { id, key } => self.list_models(id, &key, out),
+            Event::ResponseStarted(id, call) if self.is_current(id, call) => {
+                self.response_started(id)
+            }
+            Event::ResponseFinished { id, call, load, answer } if self.is_current(id, call) => {
                 self.response_finished(id, load, answer, out);
             }
             Event::Declined { id, call, why, load } if self.is_current(id, call) => {
                 self.declined(id, why, load, out);
             }
-            Event::Unsent(id, call) if self.is_current(id, call) => self.not_sent(id, out),
-            Event::Lost(id, call) if self.is_current(id, call) => self.connection_lost(id, out),
-            Event::Spent(id, call, ran) if self.is_current(id, call) => {
+            Event::NotSent(id, call) if self.is_current(id, call) => self.not_sent(id, out),
+            Event::ConnectionLost(id, call) if self.is_current(id, call) => {
+                self.connection_lost(id, out)
+            }
+            Event::BodyConsumed(id, call, ran) if self.is_current(id, call) => {
                 self.body_consumed(id, ran, out)
             }
-            Event::Cancelled(id, call, answer) if self.is_current(id, call) => {
+            Event::CancelAnswered(id, call, answer) if self.is_current(id, call) => {
                 self.cancel_answered(id, answer, out);
             }
-            Event::Began(..)
-            | Event::Ended { .. }
+            Event::ResponseStarted(..)
+            | Event::ResponseFinished { .. }
             | Event::Declined { .. }
-            | Event::Unsent(..)
-            | Event::Lost(..)
-            | Event::Spent(..)
-            | Event::Cancelled(..) => {}
-            Event::CallerGone(id) => self.caller_gone(id, out),
+            | Event::NotSent(..)
+            | Event::ConnectionLost(..)
+            | Event::BodyConsumed(..)
+            | Event::CancelAnswered(..) => {}
+            Event::CallerDisconnected(id) => self.caller_disconnected(id, out),
             Event::Unresponsive(endpoint) => self.suspect(endpoint),
             Event::Demand(demand) => self.handle_demand(demand, out),
-            Event::Heard(model) => self.demand_acknowledged(&model),
-            Event::Verdict { model, kind } => self.load_refused(&model, kind, out),
-            Event::Committed(id, outcome) => self.txn_finished(id, outcome, out),
+            Event::DemandAcked(model) => self.demand_acknowledged(&model),
+            Event::LoadRefused { model, kind } => self.load_refused(&model, kind, out),
+            Event::TxnFinished(id, outcome) => self.txn_finished(id, outcome, out),
             Event::ClaimRead(id, row) => self.claim_read(id, row, out),
             Event::Drain => self.drain(out),
         }
@@ -289,7 +296,7 @@
     }
 
     fn feed_answered(&mut self, id: u64, page: Option<Page>, out: &mut Vec<Effect>) {
-        let rows = self.feed.answered(self.now, id, page);
+        let rows = self.feed.apply_answer(self.now, id, page);
         self.update_store_state(out);
         self.apply_rows(&rows, out);
         let mut effects = Vec::new();
@@ -298,17 +305,17 @@
     }
 
     /// Applies rows that were read from the platform table itself.
-    fn absorb_table_rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
+    fn apply_table_rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
         self.table_reply = Some(self.now);
-        self.feed.learned(rows);
+        self.feed.add_rows(rows);
         self.update_store_state(out);
         self.apply_rows(rows, out);
         self.resume_after_read(rows, out);
     }
 
     /// Applies committed rows that may be ahead of other rows that are not known yet.
-    fn absorb_announced_rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
-        self.feed.learned(rows);
+    fn apply_announced_rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
+        self.feed.add_rows(rows);
         self.apply_rows(rows, out);
     }
 
@@ -327,7 +334,7 @@
         self.config.confirmed |= self.store_up;
         let mut touched = Vec::new();
         for row in rows {
-            match self.view.absorb(row) {
+            match self.view.apply(row) {
                 Some(Change::Endpoint(key, models)) => {
                     self.update_owner(key);
                     touched.extend(models);
@@ -413,7 +420,7 @@
             let rows = pending.txn.writes.iter().cloned();
             let rows = rows.map(|write| Row { key: write.key, version, body: write.body });
             let rows = rows.collect::<Vec<_>>();
-            self.absorb_table_rows(&rows, out);
+            self.apply_table_rows(&rows, out);
         }
         match pending.purpose {
             Purpose::Claim(request) => self.claim_txn_finished(request, outcome, out),
@@ -444,7 +451,7 @@
                     && let Some(row) = self.view.endpoint(endpoint)
                 {
                     let (address, from) = (row.address.clone(), self.profile.address.clone());
-                    out.push(Effect::Poke { endpoint, address, from });
+                    out.push(Effect::NotifySide { endpoint, address, from });
                 }
             }
             Outcome::Conflict | Outcome::Unknown => {
@@ -562,12 +569,12 @@
 }
 
 /// The refusal of waiting requests after a failed placement, if they are to be refused.
-fn refusal_of(reason: NoPlace) -> Option<RefusalKind> {
+fn refusal_of(reason: PlacementError) -> Option<RefusalKind> {
     match reason {
-        NoPlace::ShareUsed => Some(RefusalKind::ShareUsed),
-        NoPlace::Full => Some(RefusalKind::PoolFull),
-        NoPlace::Unknown => Some(RefusalKind::Removed),
-        NoPlace::Enough | NoPlace::Busy => None,
+        PlacementError::ShareUsed => Some(RefusalKind::ShareUsed),
+        PlacementError::PoolFull => Some(RefusalKind::PoolFull),
+        PlacementError::UnknownModel => Some(RefusalKind::NoLongerConfigured),
+        PlacementError::AlreadyPlaced | PlacementError::Busy => None,
     }
 }
 
--- a/crates/decide/src/entry/requests.rs
+++ b/crates/decide/src/entry/requests.rs
@@ -4,8 +4,8 @@
 use citronrill_config::{ApiKeyHash, Class, ServiceKind};
 
 use super::{
-    Arrival, Effect, Entry, Request, RequestId, State, Target, Wish, claims::Claim,
-    ran_after_cancel,
+    Effect, Entry, IncomingRequest, Request, RequestId, RequestTarget, State, Target,
+    claims::Claim, ran_after_cancel,
 };
 use crate::{
     call::{CancelAnswer, Decline},
@@ -47,30 +47,30 @@
 }
 
 impl Entry {
-    pub(super) fn arrive(&mut self, arrival: Arrival, out: &mut Vec<Effect>) {
-        match self.admit(&arrival, out) {
+    pub(super) fn handle_request(&mut self, incoming: IncomingRequest, out: &mut Vec<Effect>) {
+        match self.admit(&incoming, out) {
             Ok(()) => {}
-            Err(refusal) => out.push(Effect::Refuse(arrival.id, refusal)),
+            Err(refusal) => out.push(Effect::Refuse(incoming.id, refusal)),
         }
     }
 
-    fn admit(&mut self, arrival: &Arrival, out: &mut Vec<Effect>) -> Result<(), Refusal> {
+    fn admit(&mut self, incoming: &IncomingRequest, out: &mut Vec<Effect>) -> Result<(), Refusal> {
         if self.draining {
             return Err(Refusal::not_run(RefusalKind::Draining).retry_in(LOAD_RETRY_MS));
         }
-        let org = self.catalogue.organisation_of(&arrival.key);
+        let org = self.catalogue.organisation_of(&incoming.key);
         let org = org.ok_or(Refusal::not_run(RefusalKind::Unauthorised))?;
-        let resolved = self.resolve(&arrival.wish)?;
+        let resolved = self.resolve(&incoming.target)?;
         let service = &self.catalogue.services[&resolved.service];
         // Another organisation's model is refused like one that does not exist.
         if service.org != org {
-            let kind = match arrival.wish {
-                Wish::Model(_) => RefusalKind::UnknownModel,
-                Wish::Plain { .. } => RefusalKind::UnknownService,
+            let kind = match incoming.target {
+                RequestTarget::Model(_) => RefusalKind::UnknownModel,
+                RequestTarget::Plain { .. } => RefusalKind::UnknownService,
             };
             return Err(Refusal::not_run(kind));
         }
-        let slack = arrival.deadline_ms.unwrap_or(service.deadline_ms).min(service.deadline_ms);
+        let slack = incoming.deadline_ms.unwrap_or(service.deadline_ms).min(service.deadline_ms);
         let (class, queue_limit) = (service.class, service.queue as usize);
         let deadline = self.now + slack;
         self.check_limits(&resolved, org, queue_limit)?;
@@ -78,12 +78,13 @@
             self.report_use(model, out);
             self.check_deadline(model, deadline, out)?;
         }
-        let claim = arrival.once.filter(|_| !resolved.repeatable);
+        let claim = incoming.idempotency_key.filter(|_| !resolved.repeatable);
         if claim.is_some() && !self.store_up {
             return Err(Refusal::not_run(RefusalKind::StoreDown).retry_in(STORE_RETRY_MS));
         }
         let org_name = self.catalogue.organisations[&org].name.clone();
-        let claim = claim.map(|hash| Claim::new(&org_name, hash, arrival.content, self.random()));
+        let claim =
+            claim.map(|hash| Claim::new(&org_name, hash, incoming.body_hash, self.random()));
         let request = Request {
             target: resolved.target,
             org,
@@ -91,7 +92,7 @@
             deadline,
             sent_at: self.now,
             repeatable: resolved.repeatable,
-            prefix: arrival.prefix,
+            prefix: incoming.prefix,
             attempts: 0,
             excluded: Vec::new(),
             owner: 0,
@@ -100,17 +101,17 @@
             state: State::Waiting,
         };
         self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(RETRY_BUDGET);
-        self.deadlines.insert((deadline, arrival.id));
+        self.deadlines.insert((deadline, incoming.id));
         *self.org_requests.entry(org).or_default() += 1;
-        self.requests.insert(arrival.id, request);
-        self.claim_or_queue(arrival.id, out);
+        self.requests.insert(incoming.id, request);
+        self.claim_or_queue(incoming.id, out);
         Ok(())
     }
 
-    fn resolve(&self, wish: &Wish) -> Result<ResolvedTarget, Refusal> {
+    fn resolve(&self, target: &RequestTarget) -> Result<ResolvedTarget, Refusal> {
         let registry = &self.view.registry;
-        match wish {
-            Wish::Model(name) => {
+        match target {
+            RequestTarget::Model(name) => {
                 let key = registry.models.get(name);
                 let found = key.and_then(|key| Some((key, self.catalogue.models.get(&key)?)));
                 let (key, model) = found.ok_or(Refusal::not_run(RefusalKind::UnknownModel))?;
@@ -122,7 +123,7 @@
                     repeatable,
                 })
             }
-            Wish::Plain { service, verb, path } => {
+            RequestTarget::Plain { service, verb, path } => {
                 let key = registry.services.get(service);
                 let found = key.and_then(|key| Some((key, self.catalogue.services.get(&key)?)));
                 let found = found.filter(|(_, service)| service.kind == ServiceKind::Plain);
@@ -211,7 +212,7 @@
         }
         let tier = self.view.endpoints().map(|(key, _)| self.view.tier(key, &spec.name)).max();
         let tier = tier.unwrap_or(Tier::Remote);
-        let queue = match (tier, &self.view.weights.row) {
+        let queue = match (tier, &self.view.permits_row.row) {
             (Tier::Remote, Some(row)) if row.permits.len() as u64 >= row.concurrent_loads => {
                 (row.waiters.len() as u64 + 1) * spec.remote_ms / row.concurrent_loads.max(1)
             }
@@ -301,11 +302,11 @@
         };
         Some(Candidate {
             endpoint,
-            own: health.in_flight,
-            reported: health.reported.saturating_sub(health.in_flight),
+            own_requests: health.in_flight,
+            reported_requests: health.reported.saturating_sub(health.in_flight),
             age_ms: self.now.since(health.reported_at),
             slots: row.slots as u32,
-            near: row.zone == self.profile.zone,
+            same_zone: row.zone == self.profile.zone,
             affinity,
         })
     }
@@ -481,7 +482,7 @@
             return self.retry(id, out);
         }
         let ran = if response_started { Ran::Yes } else { Ran::Unknown };
-        self.refuse(id, Refusal { kind: RefusalKind::Lost, ran, retry_ms: None }, out);
+        self.refuse(id, Refusal { kind: RefusalKind::ConnectionLost, ran, retry_ms: None }, out);
     }
 
     /// Handles a failed attempt whose request body was consumed, so that it cannot be retried.
@@ -492,7 +493,11 @@
                 self.refuse_not_run(id, refusal, out);
             }
             Ran::Unknown | Ran::Yes => {
-                self.refuse(id, Refusal { kind: RefusalKind::Lost, ran, retry_ms: None }, out);
+                self.refuse(
+                    id,
+                    Refusal { kind: RefusalKind::ConnectionLost, ran, retry_ms: None },
+                    out,
+                );
             }
         }
     }
@@ -593,7 +598,7 @@
         }
     }
 
-    pub(super) fn caller_gone(&mut self, id: RequestId, out: &mut Vec<Effect>) {
+    pub(super) fn caller_disconnected(&mut self, id: RequestId, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get(&id) else { return };
         match request.state {
             State::Sent { endpoint, call, .. } => {
@@ -626,14 +631,14 @@
     pub(super) fn list_models(&mut self, id: RequestId, key: &ApiKeyHash, out: &mut Vec<Effect>) {
         let Some(org) = self.catalogue.organisation_of(key) else {
             let refusal = Refusal::not_run(RefusalKind::Unauthorised);
-            return out.push(Effect::Models(id, Err(refusal)));
+            return out.push(Effect::ListModels(id, Err(refusal)));
         };
         let models = self.catalogue.models.values().filter(|model| {
             self.catalogue.services.get(&model.service).is_some_and(|service| service.org == org)
         });
         let mut names = models.map(|model| model.name.clone()).collect::<Vec<_>>();
         names.sort_unstable();
-        out.push(Effect::Models(id, Ok(names)));
+        out.push(Effect::ListModels(id, Ok(names)));
     }
 }
 
--- a/crates/decide/src/entry/state.rs
+++ b/crates/decide/src/entry/state.rs
@@ -7,7 +7,7 @@
 
 impl Entry {
     /// The version of the active configuration.
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.catalogue.version
     }
 
@@ -22,7 +22,7 @@
     }
 
     /// The source text of the active configuration.
-    pub fn text(&self) -> &str {
+    pub fn config_source(&self) -> &str {
         &self.config.source
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// The number of models that this process coordinates in its own view.
-    pub fn home_models(&self) -> usize {
+    pub fn coordinated_models(&self) -> usize {
         self.coordinations.len()
     }
 
--- a/crates/decide/src/entry/types.rs
+++ b/crates/decide/src/entry/types.rs
@@ -3,7 +3,7 @@
 use citronrill_base::{EndpointKey, ModelKey, Outcome, Row, ServiceKey, Txn};
 use citronrill_config::{ApiKeyHash, Class};
 
-use super::home::Demand;
+use super::coordinator::Demand;
 use crate::{
     call::{CancelAnswer, Decline},
     feed::{FeedEffect, Page, Peer},
@@ -21,7 +21,7 @@
 
 /// The target that a caller asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wish {
+pub enum RequestTarget {
     /// A model or adapter, by name.
     Model(String),
     /// A call of a plain service.
@@ -37,19 +37,19 @@
 
 /// A caller's request.
 #[derive(Debug, Clone)]
-pub struct Arrival {
+pub struct IncomingRequest {
     /// Identifies the request.
     pub id: RequestId,
     /// Hash of the caller's API key.
     pub key: ApiKeyHash,
     /// The requested target.
-    pub wish: Wish,
+    pub target: RequestTarget,
     /// The caller's deadline in milliseconds; `None` means the service's deadline.
     pub deadline_ms: Option<u64>,
     /// Hash of the caller's idempotency key.
-    pub once: Option<u64>,
+    pub idempotency_key: Option<u64>,
     /// Hash of the request's body.
-    pub content: u64,
+    pub body_hash: u64,
     /// Hash of the prompt's prefix; 0 if there is none.
     pub prefix: u64,
 }
@@ -63,7 +63,7 @@
 
 /// An instance in the platform's instance list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedInstance {
     /// Its name, address and availability zone.
     pub peer: Peer,
     /// Whether the instance runs an entry rather than a side.
@@ -83,38 +83,38 @@
     /// Rows that were read from the platform table.
     Rows(Vec<Row>),
     /// Rows that a side or another entry forwards ahead of the feed.
-    Told(Vec<Row>),
+    Announced(Vec<Row>),
     /// A source's reply to the feed's request with this id; `None` if the request failed.
-    Fed(u64, Option<Page>),
+    FeedAnswer(u64, Option<Page>),
     /// A child in the feed tree asks for rows.
-    Pull {
+    FeedPull {
         /// Identifies the pull.
         pull: u64,
         /// The sequence up to which the child knows all rows.
         since: u64,
     },
     /// A fetched configuration.
-    Text {
+    Config {
         /// Its version.
         version: u64,
         /// The configuration's source text.
-        text: String,
+        source: String,
     },
     /// The platform's instance list.
-    Instances(Vec<Listed>),
+    Instances(Vec<ListedInstance>),
     /// A caller's request.
-    Arrive(Arrival),
+    Request(IncomingRequest),
     /// A caller lists its models.
-    List {
+    ListModels {
         /// Identifies the request.
         id: RequestId,
         /// Hash of the caller's API key.
         key: ApiKeyHash,
     },
     /// The first part of an attempt's answer was forwarded to the caller.
-    Began(RequestId, u64),
+    ResponseStarted(RequestId, u64),
     /// The whole answer was forwarded.
-    Ended {
+    ResponseFinished {
         /// The request.
         id: RequestId,
         /// The attempt's number.
@@ -136,31 +136,31 @@
         load: u32,
     },
     /// The attempt never left the process.
-    Unsent(RequestId, u64),
+    NotSent(RequestId, u64),
     /// The call was sent, and its outcome cannot be determined.
-    Lost(RequestId, u64),
+    ConnectionLost(RequestId, u64),
     /// The attempt failed, and the request body was consumed, so that it cannot be sent again; with
     /// whether the call ran.
-    Spent(RequestId, u64, Ran),
+    BodyConsumed(RequestId, u64, Ran),
     /// A side's reply to a cancellation.
-    Cancelled(RequestId, u64, CancelAnswer),
+    CancelAnswered(RequestId, u64, CancelAnswer),
     /// The caller disconnected.
-    CallerGone(RequestId),
+    CallerDisconnected(RequestId),
     /// An endpoint does not respond on an open connection, or accepts no connection.
     Unresponsive(EndpointKey),
     /// Another entry reports demand for a model that this process coordinates.
     Demand(Demand),
     /// The model's coordinator acknowledges the demand and decides.
-    Heard(String),
+    DemandAcked(String),
     /// The model's coordinator found no place for the model.
-    Verdict {
+    LoadRefused {
         /// The model's name.
         model: String,
         /// The reason.
         kind: RefusalKind,
     },
     /// The outcome of a transaction.
-    Committed(u64, Outcome),
+    TxnFinished(u64, Outcome),
     /// The result of a claim's read; `None` if the platform table did not answer.
     ClaimRead(RequestId, Option<Row>),
     /// Drain: accept no new requests and finish the open ones.
@@ -216,7 +216,7 @@
     /// Answer a request with the first answer under its idempotency key. This is its final answer.
     Replay(RequestId, Answer),
     /// Answer a request for the list of models.
-    Models(RequestId, Result<Vec<String>, Refusal>),
+    ListModels(RequestId, Result<Vec<String>, Refusal>),
     /// Request rows of the feed, or forward them.
     Feed(FeedEffect),
     /// Commit a transaction.
@@ -226,7 +226,7 @@
     /// Read a claim.
     ReadClaim(RequestId, String),
     /// Fetch the whole configuration that the head names.
-    FetchText(HeadRow),
+    FetchConfig(HeadRow),
     /// Report demand for a model to its coordinator.
     Demand {
         /// The coordinator's address.
@@ -235,14 +235,14 @@
         demand: Demand,
     },
     /// Acknowledge an entry's demand.
-    Heard {
+    AckDemand {
         /// The entry's address.
         to: String,
         /// The model's name.
         model: String,
     },
     /// Report to an entry that its demand cannot be met.
-    Verdict {
+    RefuseLoad {
         /// The entry's address.
         to: String,
         /// The model's name.
@@ -251,7 +251,7 @@
         kind: RefusalKind,
     },
     /// Notify a side that its row has changed, and which entry awaits its reply.
-    Poke {
+    NotifySide {
         /// The endpoint.
         endpoint: EndpointKey,
         /// The side's address.
@@ -267,7 +267,7 @@
         row: Row,
     },
     /// A configuration with this version is active.
-    Configured(u64),
+    ConfigActivated(u64),
     /// Write a line to the log.
     Log(LogEvent),
     /// The drain is complete: stop the process.
@@ -300,18 +300,18 @@
     /// Chooses the replica that serves a request.
     pub router: Box<dyn Router>,
     /// Decides how long an idle replica is kept.
-    pub keep: Box<dyn KeepAlive>,
+    pub keep_alive: Box<dyn KeepAlive>,
     /// Whether demand is reported to a model's coordinator; otherwise every entry decides itself.
-    pub homes: bool,
+    pub coordinators: bool,
 }
 
 impl Default for Policies {
     fn default() -> Self {
         Policies {
-            placement: Box::new(crate::placement::CheapestPlace),
+            placement: Box::new(crate::placement::LowestCostPlacement),
             router: Box::new(crate::routing::TwoChoices),
-            keep: Box::new(crate::keepalive::CheapestKeep),
-            homes: true,
+            keep_alive: Box::new(crate::keepalive::LowestCostKeepAlive),
+            coordinators: true,
         }
     }
 }
--- a/crates/decide/src/entry/release.rs
+++ b/crates/decide/src/entry/unload.rs
@@ -6,10 +6,10 @@
 
 use super::{
     Effect, Entry, Purpose, Target,
-    home::{PendingDemand, REPORT_MIN_MS},
+    coordinator::{PendingDemand, REPORT_MIN_MS},
 };
 use crate::{
-    keepalive::{LEARN_MS, Learned, MIN_KEEP_MS, SLOT_MS, day_slot},
+    keepalive::{MAX_GAP_MS, MIN_KEEP_MS, SLOT_MS, TrafficStats, day_slot},
     log::LogEvent,
     rows::{Phase, ShareRow, endpoint_key, model_key},
 };
@@ -76,7 +76,7 @@
         }
         for coordination in self.coordinations.values_mut() {
             let active = std::mem::take(&mut coordination.traffic.active);
-            coordination.traffic.learned.close_slot(last, active);
+            coordination.traffic.stats.close_slot(last, active);
         }
         self.preload_models(slot, out);
     }
@@ -90,12 +90,10 @@
         for (key, model) in &self.catalogue.models {
             let Some(row) = self.view.model_row(*key) else { continue };
             let Some(org) = self.catalogue.organisations.get(&model.org) else { continue };
-            let learned = self
-                .coordinations
-                .get(key)
-                .map(|coordination| coordination.traffic.learned.clone());
-            let learned = learned.unwrap_or_else(|| Learned::from_row(row));
-            let likely = self.policies.keep.load_ahead(&learned, slot, model, org);
+            let stats =
+                self.coordinations.get(key).map(|coordination| coordination.traffic.stats.clone());
+            let stats = stats.unwrap_or_else(|| TrafficStats::from_row(row));
+            let likely = self.policies.keep_alive.should_preload(&stats, slot, model, org);
             if likely && row.holders.is_empty() && self.is_coordinator(&model.name) {
                 due.push((*key, model.base.is_some()));
             }
@@ -160,7 +158,7 @@
     pub(super) fn drop_unloaded(&mut self, model: ModelKey) {
         let Some(coordination) = self.coordinations.get(&model) else { return };
         // The time of the last request is kept as long as the gap histogram can tell gaps apart.
-        let old = self.now.since(coordination.traffic.last) > LEARN_MS;
+        let old = self.now.since(coordination.traffic.last) > MAX_GAP_MS;
         if coordination.demand.is_none() && old {
             self.coordinations.remove(&model);
         }
@@ -173,16 +171,16 @@
         if self.used_mb(spec.org) > org.share_mb {
             return MIN_KEEP_MS;
         }
-        let learned = &self.coordinations[&model].traffic.learned;
+        let stats = &self.coordinations[&model].traffic.stats;
         let Some(base) = spec.base.and_then(|base| self.catalogue.models.get(&base)) else {
-            return self.policies.keep.keep_ms(learned, spec, org);
+            return self.policies.keep_alive.keep_ms(stats, spec, org);
         };
         // An adapter holds a small part of an accelerator, so its idle time is proportionally
         // cheaper. However, each loaded adapter lengthens the endpoint's row, which is sent to
         // every entry.
         let cold_weight = org.cold_weight * base.memory_mb / spec.memory_mb;
         let org = Organisation { cold_weight, ..org.clone() };
-        self.policies.keep.keep_ms(learned, spec, &org).min(ADAPTER_KEEP_MS)
+        self.policies.keep_alive.keep_ms(stats, spec, &org).min(ADAPTER_KEEP_MS)
     }
 
     pub(super) fn used_mb(&self, org: OrgKey) -> u64 {
@@ -222,7 +220,7 @@
         if let Some(coordination) = self.coordinations.get(&model) {
             let held = self.view.model(model);
             let mut row = held.row.unwrap_or_default();
-            coordination.traffic.learned.to_row(&mut row);
+            coordination.traffic.stats.to_row(&mut row);
             txn.put(model_key(&name), held.version, Some(row.encode_to_vec()));
         }
         let event = LogEvent::new("unload").with("model", name).with("endpoint", endpoint_name);
--- a/crates/decide/src/feed.rs
+++ b/crates/decide/src/feed.rs
@@ -31,7 +31,7 @@
 /// Time that a process uses a fallback source before it tries its parent again, in milliseconds.
 const PARENT_RETRY_MS: u64 = 15_000;
 /// Number of rows at which a page is full.
-pub const PAGE: usize = 1_000;
+pub const PAGE_ROWS: usize = 1_000;
 
 /// Source of rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedEffect {
     /// Request rows after `since` from a source.
-    Ask {
+    Pull {
         /// Id of the request.
         id: u64,
         /// The source.
@@ -77,7 +77,7 @@
         since: u64,
     },
     /// Answer a child's pull.
-    Answer {
+    AnswerPull {
         /// Id of the child's pull.
         pull: u64,
         /// The rows.
@@ -162,7 +162,7 @@
         self.next_id += 1;
         let (id, since) = (self.next_id, self.sequence);
         self.pending = Some(PendingRequest { id, source: source.clone(), at: now });
-        out.push(FeedEffect::Ask { id, source, since });
+        out.push(FeedEffect::Pull { id, source, since });
     }
 
     /// Returns the sources in order of preference: the parent, its ancestors, the table, any peer.
@@ -210,7 +210,7 @@
     }
 
     /// Applies a source's answer, `None` if the request failed, and returns the rows that are new.
-    pub fn answered(&mut self, now: Millis, id: u64, page: Option<Page>) -> Vec<Row> {
+    pub fn apply_answer(&mut self, now: Millis, id: u64, page: Option<Page>) -> Vec<Row> {
         let Some(pending) = self.pending.take_if(|it| it.id == id) else { return Vec::new() };
         let Some(page) = page else {
             self.request_failed(now);
@@ -222,7 +222,7 @@
             self.try_next_source(now);
         }
         self.confirmed = self.confirmed.max(Some(at));
-        if page.rows.len() >= PAGE {
+        if page.rows.len() >= PAGE_ROWS {
             self.next_at = now;
         }
         self.insert_rows(page.rows, page.sequence)
@@ -230,7 +230,7 @@
 
     /// Adds rows received outside the feed, such as this process's commits, without advancing the
     /// sequence.
-    pub fn learned(&mut self, rows: &[Row]) {
+    pub fn add_rows(&mut self, rows: &[Row]) {
         let sequence = self.sequence;
         let rows = rows.iter().filter(|row| row.key.starts_with(crate::rows::FEED));
         self.insert_rows(rows.cloned().collect(), sequence);
@@ -270,7 +270,7 @@
         let ids = self.pulls.iter().filter(|(_, pull)| due(pull)).map(|(id, _)| *id);
         for id in ids.collect::<Vec<_>>() {
             let Some(pull) = self.pulls.remove(&id) else { continue };
-            out.push(FeedEffect::Answer { pull: id, page: self.page(now, pull.since) });
+            out.push(FeedEffect::AnswerPull { pull: id, page: self.page(now, pull.since) });
         }
     }
 
@@ -283,7 +283,7 @@
         let mut page = Page { rows: Vec::new(), sequence: self.sequence, age_ms: self.age(now) };
         for (version, rows) in self.changes.range(since + 1..) {
             page.rows.extend(rows.iter().cloned());
-            if page.rows.len() >= PAGE {
+            if page.rows.len() >= PAGE_ROWS {
                 page.sequence = self.sequence.min(*version);
                 break;
             }
--- a/crates/decide/src/keepalive.rs
+++ b/crates/decide/src/keepalive.rs
@@ -17,7 +17,7 @@
 /// Minimum time that a model stays loaded after a request, in milliseconds.
 pub const MIN_KEEP_MS: u64 = 5_000;
 /// Longest gap that the histogram can tell from a longer one, in milliseconds.
-pub const LEARN_MS: u64 = 1000 << (GAP_BUCKETS - 1);
+pub const MAX_GAP_MS: u64 = 1000 << (GAP_BUCKETS - 1);
 /// Counts are halved at this value, so that old observations decay.
 const MAX_COUNT: u8 = 240;
 /// Weight of the uniform prior over the gap buckets, in observations per bucket.
@@ -29,33 +29,38 @@
 /// Policy for keeping, unloading and preloading a replica.
 pub trait KeepAlive: Send {
     /// Returns how long to keep a replica after a request, in milliseconds.
-    fn keep_ms(&self, learned: &Learned, model: &Model, org: &Organisation) -> u64;
+    fn keep_ms(&self, stats: &TrafficStats, model: &Model, org: &Organisation) -> u64;
 
     /// Returns whether to load a model at the start of a time slot, before any request.
-    fn load_ahead(&self, learned: &Learned, slot: usize, model: &Model, org: &Organisation)
-    -> bool;
+    fn should_preload(
+        &self,
+        stats: &TrafficStats,
+        slot: usize,
+        model: &Model,
+        org: &Organisation,
+    ) -> bool;
 }
 
 /// Traffic statistics of a model, small enough to be stored in the model's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Learned {
+pub struct TrafficStats {
     gaps: [u8; GAP_BUCKETS],
     slots: [u8; DAY_SLOTS],
 }
 
-impl Default for Learned {
+impl Default for TrafficStats {
     fn default() -> Self {
-        Learned { gaps: [0; GAP_BUCKETS], slots: [0; DAY_SLOTS] }
+        TrafficStats { gaps: [0; GAP_BUCKETS], slots: [0; DAY_SLOTS] }
     }
 }
 
-impl Learned {
+impl TrafficStats {
     /// Reads the statistics from the row; fields that are missing or of another size count as
     /// empty.
-    pub fn from_row(row: &ModelRow) -> Learned {
+    pub fn from_row(row: &ModelRow) -> TrafficStats {
         let gaps = row.gaps.as_slice().try_into().unwrap_or([0; GAP_BUCKETS]);
         let slots = row.activity.as_slice().try_into().unwrap_or([0; DAY_SLOTS]);
-        Learned { gaps, slots }
+        TrafficStats { gaps, slots }
     }
 
     /// Writes the statistics to the row.
@@ -112,11 +117,11 @@
 
 /// Keeps a replica for the time with the lowest expected cost under the observed gaps.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CheapestKeep;
+pub struct LowestCostKeepAlive;
 
-impl KeepAlive for CheapestKeep {
-    fn keep_ms(&self, learned: &Learned, model: &Model, org: &Organisation) -> u64 {
-        let probabilities = learned.gap_probabilities();
+impl KeepAlive for LowestCostKeepAlive {
+    fn keep_ms(&self, stats: &TrafficStats, model: &Model, org: &Organisation) -> u64 {
+        let probabilities = stats.gap_probabilities();
         let price_ms = cold_start_price(model, org);
         let mut best = (f64::INFINITY, MIN_KEEP_MS);
         for cutoff in 0..=GAP_BUCKETS {
@@ -133,28 +138,28 @@
         best.1
     }
 
-    fn load_ahead(
+    fn should_preload(
         &self,
-        learned: &Learned,
+        stats: &TrafficStats,
         slot: usize,
         model: &Model,
         org: &Organisation,
     ) -> bool {
-        let saved_ms = learned.activity(slot) * cold_start_price(model, org);
+        let saved_ms = stats.activity(slot) * cold_start_price(model, org);
         saved_ms > SLOT_MS as f64 / 2.0
     }
 }
 
 /// Baseline policy: a fixed time in milliseconds, and no preloading.
 #[derive(Debug, Clone, Copy)]
-pub struct FixedKeep(pub u64);
+pub struct FixedKeepAlive(pub u64);
 
-impl KeepAlive for FixedKeep {
-    fn keep_ms(&self, _: &Learned, _: &Model, _: &Organisation) -> u64 {
+impl KeepAlive for FixedKeepAlive {
+    fn keep_ms(&self, _: &TrafficStats, _: &Model, _: &Organisation) -> u64 {
         self.0
     }
 
-    fn load_ahead(&self, _: &Learned, _: usize, _: &Model, _: &Organisation) -> bool {
+    fn should_preload(&self, _: &TrafficStats, _: usize, _: &Model, _: &Organisation) -> bool {
         false
     }
 }
@@ -173,7 +178,7 @@
 #[derive(Debug, Clone)]
 pub struct Traffic {
     /// Traffic statistics.
-    pub learned: Learned,
+    pub stats: TrafficStats,
     /// Time of the last reported request, or of the start as the coordinator.
     pub last: Millis,
     /// Whether a request was reported in the current time slot.
@@ -184,15 +189,15 @@
 
 impl Traffic {
     /// Creates the traffic of a model for which this process has just become the coordinator.
-    pub fn adopt(row: Option<&ModelRow>, now: Millis) -> Traffic {
-        let learned = row.map(Learned::from_row).unwrap_or_default();
-        Traffic { learned, last: now, active: false, request_seen: false }
+    pub fn new(row: Option<&ModelRow>, now: Millis) -> Traffic {
+        let stats = row.map(TrafficStats::from_row).unwrap_or_default();
+        Traffic { stats, last: now, active: false, request_seen: false }
     }
 
     /// Records a report of requests.
     pub fn report(&mut self, now: Millis) {
         if self.request_seen {
-            self.learned.observe_gap(now.since(self.last));
+            self.stats.observe_gap(now.since(self.last));
         }
         self.last = now;
         self.request_seen = true;
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -19,23 +19,24 @@
 pub use crate::{
     call::{CallId, CancelAnswer, Decline, Offer},
     entry::{
-        ANSWER_LIMIT, Answer, Arrival, Demand, Effect, Entry, EntryProfile, Event, Listed,
-        Policies, RequestId, Wish,
+        ANSWER_LIMIT, Answer, Demand, Effect, Entry, EntryProfile, Event, IncomingRequest,
+        ListedInstance, Policies, RequestId, RequestTarget,
     },
-    feed::{Feed, FeedEffect, HOLD_MS, PAGE, POLL_MS, Page, Peer, STALE_MS, Source},
+    feed::{Feed, FeedEffect, HOLD_MS, PAGE_ROWS, POLL_MS, Page, Peer, STALE_MS, Source},
     keepalive::{
-        CheapestKeep, DAY_SLOTS, FixedKeep, KeepAlive, Learned, MIN_KEEP_MS, SLOT_MS, Traffic,
-        day_slot,
+        DAY_SLOTS, FixedKeepAlive, KeepAlive, LowestCostKeepAlive, MIN_KEEP_MS, SLOT_MS, Traffic,
+        TrafficStats, day_slot,
     },
     log::LogEvent,
     placement::{
-        Ask, CheapestPlace, EmptiestPlace, NoPlace, Placement, PlacementOption, Plan, Scene,
-        base_ready, fits_now, load_ms, load_txn, plan, share_part, urgency,
+        LowestCostPlacement, MostFreePlacement, Placement, PlacementError, PlacementInput,
+        PlacementOption, Plan, ReplicaRequest, base_ready, fits_now, load_ms, load_txn, plan,
+        share_part, urgency,
     },
     refusal::{Ran, Refusal, RefusalKind},
-    routing::{AnyReplica, Candidate, Router, TwoChoices},
+    routing::{Candidate, RandomReplica, Router, TwoChoices},
     side::{
-        Admission, Calls, EngineReport, HeldModel, ORDER_TRANSIT_MS, ORDER_TTL_MS, RECORD_LIMIT,
+        Admission, Calls, EngineModel, EngineReport, ORDER_TRANSIT_MS, ORDER_TTL_MS, RECORD_LIMIT,
         Side, SideEffect, SideEvent, SideProfile, VERIFY_MS,
     },
     view::{Change, Versioned, View},
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     rows::{
-        EndpointRow, Permit, Phase, Replica, ShareRow, Tier, WEIGHTS, WeightsRow, endpoint_key,
+        EndpointRow, PERMITS, Permit, PermitsRow, Phase, Replica, ShareRow, Tier, endpoint_key,
         model_key, share_key,
     },
     view::{Versioned, View},
@@ -25,11 +25,11 @@
 
 /// Request for replicas of a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
+pub struct ReplicaRequest {
     /// The model.
     pub model: ModelKey,
     /// Target number of replicas.
-    pub copies: u64,
+    pub replicas: u64,
     /// Milliseconds until the first waiting request's deadline.
     pub slack_ms: u64,
     /// The most urgent class among the waiting requests.
@@ -38,21 +38,21 @@
 
 /// Reason why no placement is made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoPlace {
+pub enum PlacementError {
     /// The requested number of replicas is already decided.
-    Enough,
+    AlreadyPlaced,
     /// The configuration does not have the model.
-    Unknown,
+    UnknownModel,
     /// The organisation's share is used up.
     ShareUsed,
     /// No endpoint has room, even after evictions.
-    Full,
+    PoolFull,
     /// The only endpoints with room are part of a pending decision.
     Busy,
 }
 
 /// Input of a placement decision.
-pub struct Scene<'a> {
+pub struct PlacementInput<'a> {
     /// This process's view of the platform table.
     pub view: &'a View,
     /// The current configuration.
@@ -60,13 +60,13 @@
     /// Endpoints that a pending decision will change.
     pub busy: &'a Set<EndpointKey>,
     /// Endpoints that are leaving or gone according to reports that this process received.
-    pub avoided: &'a Set<EndpointKey>,
+    pub excluded: &'a Set<EndpointKey>,
     /// Number of parts into which an organisation's share is divided.
-    pub parts: u32,
+    pub share_parts: u32,
     /// Whether the transaction may also take a free permit.
-    pub permits: bool,
+    pub take_permit: bool,
     /// Random number that breaks ties.
-    pub salt: u64,
+    pub tie_breaker: u64,
 }
 
 /// Models to load on an endpoint; a base that is missing there precedes its adapter.
@@ -81,7 +81,7 @@
 /// Policy that selects an endpoint.
 pub trait Placement: Send {
     /// Returns the index of the selected option among the endpoints that can load the models.
-    fn choose(&self, scene: &Scene<'_>, options: &[PlacementOption]) -> Option<usize>;
+    fn choose(&self, input: &PlacementInput<'_>, options: &[PlacementOption]) -> Option<usize>;
 }
 
 /// An endpoint that can load the requested models.
@@ -103,9 +103,9 @@
 
 /// Selects the endpoint with the lowest cost of loading, eviction and zone overlap.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CheapestPlace;
+pub struct LowestCostPlacement;
 
-impl CheapestPlace {
+impl LowestCostPlacement {
     fn cost(place: &PlacementOption) -> u64 {
         let evict = if place.need_mb > place.free_mb {
             let missing = place.need_mb - place.free_mb;
@@ -118,15 +118,15 @@
     }
 }
 
-impl Placement for CheapestPlace {
-    fn choose(&self, scene: &Scene<'_>, options: &[PlacementOption]) -> Option<usize> {
+impl Placement for LowestCostPlacement {
+    fn choose(&self, input: &PlacementInput<'_>, options: &[PlacementOption]) -> Option<usize> {
         let rank = |place: &PlacementOption| {
             // Coarse steps: with an exact best fit, all entries that decide in a burst would select
             // the same endpoint, and all but one would conflict.
             let leftover = place.free_mb.saturating_sub(place.need_mb) / place.need_mb.max(1);
             let leftover = leftover.min(MAX_FIT_STEPS);
-            let name = scene.view.endpoint_name(place.endpoint);
-            (Self::cost(place), leftover, hash_bytes(name.as_bytes()) ^ scene.salt)
+            let name = input.view.endpoint_name(place.endpoint);
+            (Self::cost(place), leftover, hash_bytes(name.as_bytes()) ^ input.tie_breaker)
         };
         (0..options.len()).min_by_key(|index| rank(&options[*index]))
     }
@@ -134,10 +134,10 @@
 
 /// Baseline policy: selects the endpoint with the most free memory.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct EmptiestPlace;
+pub struct MostFreePlacement;
 
-impl Placement for EmptiestPlace {
-    fn choose(&self, _: &Scene<'_>, options: &[PlacementOption]) -> Option<usize> {
+impl Placement for MostFreePlacement {
+    fn choose(&self, _: &PlacementInput<'_>, options: &[PlacementOption]) -> Option<usize> {
         (0..options.len()).max_by_key(|index| options[*index].free_mb)
     }
 }
@@ -146,59 +146,63 @@
 ///
 /// # Errors
 /// Returns the reason if no replica is needed or none can be placed.
-pub fn plan(scene: &Scene<'_>, rule: &dyn Placement, ask: &Ask) -> Result<Plan, NoPlace> {
-    let model = scene.catalogue.models.get(&ask.model).ok_or(NoPlace::Unknown)?;
-    let decided = scene.view.model_row(ask.model).map_or(0, |row| row.holders.len() as u64);
-    if decided >= ask.copies.min(model.replicas) {
-        return Err(NoPlace::Enough);
+pub fn plan(
+    input: &PlacementInput<'_>,
+    rule: &dyn Placement,
+    request: &ReplicaRequest,
+) -> Result<Plan, PlacementError> {
+    let model = input.catalogue.models.get(&request.model).ok_or(PlacementError::UnknownModel)?;
+    let decided = input.view.model_row(request.model).map_or(0, |row| row.holders.len() as u64);
+    if decided >= request.replicas.min(model.replicas) {
+        return Err(PlacementError::AlreadyPlaced);
     }
     let mut blocked = false;
     let mut options = Vec::new();
-    for (key, row) in scene.view.endpoints() {
-        let Some(place) = option_at(scene, ask.model, model, key, row) else { continue };
-        if scene.busy.contains(&key) {
+    for (key, row) in input.view.endpoints() {
+        let Some(place) = option_at(input, request.model, model, key, row) else { continue };
+        if input.busy.contains(&key) {
             blocked = true;
             continue;
         }
         options.push(place);
     }
-    keep_with_base(scene, model, &mut options);
-    let affordable = |place: &PlacementOption| share_covers(scene, &place.models);
+    keep_with_base(input, model, &mut options);
+    let affordable = |place: &PlacementOption| share_covers(input, &place.models);
     if !options.is_empty() && !options.iter().any(affordable) {
-        return Err(NoPlace::ShareUsed);
+        return Err(PlacementError::ShareUsed);
     }
     options.retain(affordable);
-    let index = rule.choose(scene, &options);
+    let index = rule.choose(input, &options);
     match index {
         Some(index) => {
             let place = options.swap_remove(index);
             Ok(Plan { endpoint: place.endpoint, models: place.models })
         }
-        None if blocked => Err(NoPlace::Busy),
-        None => Err(NoPlace::Full),
+        None if blocked => Err(PlacementError::Busy),
+        None => Err(PlacementError::PoolFull),
     }
 }
 
 /// Restricts an adapter to endpoints that have its base model, if there is one among the options
 /// or the base has all its replicas.
-fn keep_with_base(scene: &Scene<'_>, model: &Model, options: &mut Vec<PlacementOption>) {
+fn keep_with_base(input: &PlacementInput<'_>, model: &Model, options: &mut Vec<PlacementOption>) {
     let Some(base) = model.base else { return };
     let with_base = options.iter().any(|place| place.models.len() == 1);
-    let decided = scene.view.model_row(base).map_or(0, |row| row.holders.len() as u64);
-    let limit = scene.catalogue.models.get(&base).map_or(0, |it| it.replicas);
+    let decided = input.view.model_row(base).map_or(0, |row| row.holders.len() as u64);
+    let limit = input.catalogue.models.get(&base).map_or(0, |it| it.replicas);
     if with_base || decided >= limit {
         options.retain(|place| place.models.len() == 1);
     }
 }
 
 fn option_at(
-    scene: &Scene<'_>,
+    input: &PlacementInput<'_>,
     key: ModelKey,
     model: &Model,
     endpoint: EndpointKey,
     row: &EndpointRow,
 ) -> Option<PlacementOption> {
-    if row.leaving || row.memory_mb == 0 || scene.avoided.contains(&endpoint) {
+    if row.leaving || row.memory_mb == 0 || input.excluded.contains(&endpoint) {
         return None;
     }
     if row.replica(&model.name).is_some() {
@@ -206,7 +210,7 @@
     }
     let mut models = Vec::new();
     if let Some(base) = model.base {
-        let spec = scene.catalogue.models.get(&base)?;
+        let spec = input.catalogue.models.get(&base)?;
         match row.replica(&spec.name).map(Replica::phase) {
             None => models.push(base),
             Some(Phase::Unloading) => return None,
@@ -214,21 +218,21 @@
         }
     }
     models.push(key);
-    let specs = models.iter().filter_map(|key| scene.catalogue.models.get(key));
+    let specs = models.iter().filter_map(|key| input.catalogue.models.get(key));
     let specs = specs.collect::<Vec<_>>();
     let need_mb = specs.iter().map(|spec| spec.peak_mb).sum::<u64>();
     let load_ms =
-        specs.iter().map(|spec| load_ms(spec, scene.view.tier(endpoint, &spec.name))).sum();
+        specs.iter().map(|spec| load_ms(spec, input.view.tier(endpoint, &spec.name))).sum();
     let committed_mb = row.committed_mb();
     let reclaimable =
-        reclaimable_mb(row, &model.base.map(|base| scene.view.registry.models.name(base)));
+        reclaimable_mb(row, &model.base.map(|base| input.view.registry.models.name(base)));
     if committed_mb + need_mb > row.memory_mb + reclaimable {
         return None;
     }
-    let zone_occupied = scene
+    let zone_occupied = input
         .view
         .replicas(key)
-        .any(|(holder, _)| scene.view.endpoint(holder).is_some_and(|other| other.zone == row.zone));
+        .any(|(holder, _)| input.view.endpoint(holder).is_some_and(|other| other.zone == row.zone));
     let free_mb = row.memory_mb.saturating_sub(committed_mb);
     Some(PlacementOption { endpoint, models, free_mb, need_mb, load_ms, zone_occupied })
 }
@@ -259,15 +263,15 @@
     }
 }
 
-fn share_covers(scene: &Scene<'_>, models: &[ModelKey]) -> bool {
+fn share_covers(input: &PlacementInput<'_>, models: &[ModelKey]) -> bool {
     let mut orgs: Vec<(OrgKey, u64)> = Vec::new();
-    for model in models.iter().filter_map(|key| scene.catalogue.models.get(key)) {
+    for model in models.iter().filter_map(|key| input.catalogue.models.get(key)) {
         match orgs.iter_mut().find(|(org, _)| *org == model.org) {
             Some((_, total)) => *total += model.memory_mb,
             None => orgs.push((model.org, model.memory_mb)),
         }
     }
-    orgs.iter().all(|(org, need)| OrgShare::read(scene, *org).free() >= *need)
+    orgs.iter().all(|(org, need)| OrgShare::read(input, *org).free() >= *need)
 }
 
 /// An organisation's share, divided into parts.
@@ -281,10 +285,10 @@
 }
 
 impl OrgShare {
-    fn read(scene: &Scene<'_>, org: OrgKey) -> OrgShare {
-        let share = scene.catalogue.organisations.get(&org).map_or(0, |it| it.share_mb);
-        let parts = (0..scene.parts).map(|part| scene.view.share(org, part)).collect();
-        OrgShare { limit: share / u64::from(scene.parts.max(1)), parts }
+    fn read(input: &PlacementInput<'_>, org: OrgKey) -> OrgShare {
+        let share = input.catalogue.organisations.get(&org).map_or(0, |it| it.share_mb);
+        let parts = (0..input.share_parts).map(|part| input.view.share(org, part)).collect();
+        OrgShare { limit: share / u64::from(input.share_parts.max(1)), parts }
     }
 
     fn free_in(&self, part: usize) -> u64 {
@@ -330,13 +334,14 @@
 
 /// Returns the rank of a load in the permit queue, by deadline, class and dependent services; the
 /// smallest goes first.
-pub fn urgency(ask: &Ask, model: &Model) -> u64 {
-    let class = match ask.class {
+pub fn urgency(request: &ReplicaRequest, model: &Model) -> u64 {
+    let class = match request.class {
         Class::Urgent => 0,
         Class::Normal => CLASS_STEP_MS,
         Class::Batch => 2 * CLASS_STEP_MS,
     };
-    (ask.slack_ms.min(CLASS_STEP_MS) + class).saturating_sub(model.dependants * DEPENDANT_BONUS_MS)
+    (request.slack_ms.min(CLASS_STEP_MS) + class)
+        .saturating_sub(model.dependants * DEPENDANT_BONUS_MS)
 }
 
 /// Builds the transaction that commits `plan`.
@@ -344,36 +349,44 @@
 /// The endpoint's ledger, each model's row, the share and the permit change together, each checked
 /// against the version that was read. Of two concurrent decisions on the same rows only one
 /// succeeds, and a transaction whose answer was lost cannot take effect twice.
-pub fn load_txn(scene: &Scene<'_>, plan: &Plan, ask: &Ask, order: u64) -> Txn {
+pub fn load_txn(
+    input: &PlacementInput<'_>,
+    plan: &Plan,
+    request: &ReplicaRequest,
+    order: u64,
+) -> Txn {
     let mut txn = Txn::default();
-    let Some(row) = scene.view.endpoint(plan.endpoint) else { return txn };
+    let Some(row) = input.view.endpoint(plan.endpoint) else { return txn };
     let mut ledger = row.clone();
-    let mut weights = scene.view.weights.row.clone().unwrap_or_default();
-    let weights_before = weights.clone();
-    weights.concurrent_loads = scene.catalogue.pool.concurrent_loads;
-    weights.loads_per_second = scene.catalogue.pool.loads_per_second;
-    let endpoint = scene.view.endpoint_name(plan.endpoint).to_owned();
+    let mut permits_row = input.view.permits_row.row.clone().unwrap_or_default();
+    let permits_row_before = permits_row.clone();
+    permits_row.concurrent_loads = input.catalogue.pool.concurrent_loads;
+    permits_row.loads_per_second = input.catalogue.pool.loads_per_second;
+    let endpoint = input.view.endpoint_name(plan.endpoint).to_owned();
     let mut shares: Vec<(OrgKey, OrgShare, Vec<usize>)> = Vec::new();
     for (index, key) in plan.models.iter().enumerate() {
-        let Some(model) = scene.catalogue.models.get(key) else { continue };
-        let tier = scene.view.tier(plan.endpoint, &model.name);
-        let mut replica = new_replica(scene, ask, model, order + index as u64, tier);
-        if (scene.permits || !replica.remote) && can_start_load(&ledger, &weights, &replica) {
+        let Some(model) = input.catalogue.models.get(key) else { continue };
+        let tier = input.view.tier(plan.endpoint, &model.name);
+        let mut replica = new_replica(input, request, model, order + index as u64, tier);
+        if (input.take_permit || !replica.remote) && can_start_load(&ledger, &permits_row, &replica)
+        {
             replica.phase = Phase::Loading.into();
             if replica.remote {
-                weights.permits.push(Permit { endpoint: endpoint.clone(), order: replica.order });
+                permits_row
+                    .permits
+                    .push(Permit { endpoint: endpoint.clone(), order: replica.order });
             }
         }
-        let part = replica.bucket as usize;
+        let part = replica.share_part as usize;
         ledger.replicas.push(replica);
         let position = shares.iter().position(|(org, ..)| *org == model.org);
         let position = position.unwrap_or_else(|| {
-            shares.push((model.org, OrgShare::read(scene, model.org), Vec::new()));
+            shares.push((model.org, OrgShare::read(input, model.org), Vec::new()));
             shares.len() - 1
         });
         let (_, share, changed) = &mut shares[position];
         changed.extend(share.reserve(part, model.memory_mb));
-        let versioned = scene.view.model(*key);
+        let versioned = input.view.model(*key);
         let mut holders = versioned.row.unwrap_or_default();
         holders.holders.push(endpoint.clone());
         txn.put(model_key(&model.name), versioned.version, Some(holders.encode_to_vec()));
@@ -381,26 +394,32 @@
     for (org, share, mut changed) in shares {
         changed.sort_unstable();
         changed.dedup();
-        let name = scene.view.registry.organisations.name(org);
+        let name = input.view.registry.organisations.name(org);
         for part in changed {
             let versioned = &share.parts[part];
             let body = versioned.row.clone().unwrap_or_default().encode_to_vec();
             txn.put(share_key(name, part as u32), versioned.version, Some(body));
         }
     }
-    if weights.permits != weights_before.permits {
-        txn.put(WEIGHTS, scene.view.weights.version, Some(weights.encode_to_vec()));
+    if permits_row.permits != permits_row_before.permits {
+        txn.put(PERMITS, input.view.permits_row.version, Some(permits_row.encode_to_vec()));
     }
-    let version = scene.view.endpoint_version(plan.endpoint);
+    let version = input.view.endpoint_version(plan.endpoint);
     txn.put(endpoint_key(&endpoint), version, Some(ledger.encode_to_vec()));
     txn
 }
 
-fn new_replica(scene: &Scene<'_>, ask: &Ask, model: &Model, order: u64, tier: Tier) -> Replica {
-    let base = model.base.map(|base| scene.view.registry.models.name(base).to_owned());
+fn new_replica(
+    input: &PlacementInput<'_>,
+    request: &ReplicaRequest,
+    model: &Model,
+    order: u64,
+    tier: Tier,
+) -> Replica {
+    let base = model.base.map(|base| input.view.registry.models.name(base).to_owned());
     Replica {
         model: model.name.clone(),
-        org: scene.view.registry.organisations.name(model.org).to_owned(),
+        org: input.view.registry.organisations.name(model.org).to_owned(),
         memory_mb: model.memory_mb,
         peak_mb: model.peak_mb,
         order,
@@ -408,19 +427,19 @@
         remote: tier == Tier::Remote,
         base: base.unwrap_or_default(),
         load_ms: load_ms(model, tier),
-        urgency: urgency(ask, model),
-        bucket: share_part(&model.name, scene.parts),
+        urgency: urgency(request, model),
+        share_part: share_part(&model.name, input.share_parts),
     }
 }
 
 /// Returns whether a wanted replica can begin to load: it needs memory for its peak, its base and,
 /// to read from the weight store, a permit.
-pub fn can_start_load(ledger: &EndpointRow, weights: &WeightsRow, replica: &Replica) -> bool {
+pub fn can_start_load(ledger: &EndpointRow, permits_row: &PermitsRow, replica: &Replica) -> bool {
     let room = fits_now(ledger, replica);
     let base_loaded = base_ready(ledger, replica);
     let permit = !replica.remote
-        || (weights.waiters.is_empty()
-            && (weights.permits.len() as u64) < weights.concurrent_loads);
+        || (permits_row.waiters.is_empty()
+            && (permits_row.permits.len() as u64) < permits_row.concurrent_loads);
     room && base_loaded && permit
 }
 
--- a/crates/decide/src/refusal.rs
+++ b/crates/decide/src/refusal.rs
@@ -43,20 +43,20 @@
     /// The process is draining.
     Draining,
     /// The configuration no longer has the model or service.
-    Removed,
+    NoLongerConfigured,
     /// The connection to the endpoint was lost after the call was sent.
-    Lost,
+    ConnectionLost,
     /// Another request with the same idempotency key may be running.
     InFlight,
     /// The first answer under the idempotency key is too large to replay.
-    AnswerLarge,
+    AnswerTooLarge,
     /// The idempotency key was used with another request body.
     KeyReused,
 }
 
 impl RefusalKind {
     /// Returns the stable name.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             RefusalKind::Unauthorised => "unauthorised",
             RefusalKind::UnknownModel => "unknown-model",
@@ -70,10 +70,10 @@
             RefusalKind::StoreDown => "store-down",
             RefusalKind::LoadFailed => "load-failed",
             RefusalKind::Draining => "draining",
-            RefusalKind::Removed => "removed",
-            RefusalKind::Lost => "connection-lost",
+            RefusalKind::NoLongerConfigured => "removed",
+            RefusalKind::ConnectionLost => "connection-lost",
             RefusalKind::InFlight => "in-flight",
-            RefusalKind::AnswerLarge => "answer-too-large",
+            RefusalKind::AnswerTooLarge => "answer-too-large",
             RefusalKind::KeyReused => "idempotency-key-reused",
         }
     }
@@ -82,11 +82,13 @@
     pub fn status(self) -> u16 {
         match self {
             RefusalKind::Unauthorised => 401,
-            RefusalKind::UnknownModel | RefusalKind::UnknownService | RefusalKind::Removed => 404,
-            RefusalKind::InFlight | RefusalKind::AnswerLarge => 409,
+            RefusalKind::UnknownModel
+            | RefusalKind::UnknownService
+            | RefusalKind::NoLongerConfigured => 404,
+            RefusalKind::InFlight | RefusalKind::AnswerTooLarge => 409,
             RefusalKind::KeyReused => 422,
             RefusalKind::QueueFull | RefusalKind::Overloaded | RefusalKind::ShareUsed => 429,
-            RefusalKind::Lost => 502,
+            RefusalKind::ConnectionLost => 502,
             RefusalKind::Expired => 504,
             RefusalKind::TooLate
             | RefusalKind::PoolFull
--- a/crates/decide/src/routing.rs
+++ b/crates/decide/src/routing.rs
@@ -19,15 +19,15 @@
     /// The replica's endpoint.
     pub endpoint: EndpointKey,
     /// Number of requests of this entry that are running on the endpoint.
-    pub own: u32,
+    pub own_requests: u32,
     /// Number of requests of other entries in the side's last report.
-    pub reported: u32,
+    pub reported_requests: u32,
     /// Age of the report, in milliseconds.
     pub age_ms: u64,
     /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Whether the endpoint is in the entry's zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Stable hash of prompt prefix and endpoint; 0 without a prefix.
     pub affinity: u64,
 }
@@ -36,12 +36,12 @@
     /// Returns the expected load as a fraction of the slots.
     fn load(&self) -> f64 {
         let decay = 0.5_f64.powf(self.age_ms as f64 / REPORT_HALF_LIFE_MS as f64);
-        let others = f64::from(self.reported) * decay;
-        (f64::from(self.own) + others) / f64::from(self.slots.max(1))
+        let others = f64::from(self.reported_requests) * decay;
+        (f64::from(self.own_requests) + others) / f64::from(self.slots.max(1))
     }
 
     fn cost(&self) -> f64 {
-        self.load() + if self.near { 0.0 } else { ZONE_MARGIN }
+        self.load() + if self.same_zone { 0.0 } else { ZONE_MARGIN }
     }
 }
 
@@ -87,9 +87,9 @@
 
 /// Baseline policy: selects a replica at random.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct AnyReplica;
+pub struct RandomReplica;
 
-impl Router for AnyReplica {
+impl Router for RandomReplica {
     fn pick(&self, candidates: &[Candidate], rng: &mut SmallRng) -> Option<usize> {
         (!candidates.is_empty()).then(|| rng.random_range(0..candidates.len()))
     }
--- a/crates/decide/src/rows.rs
+++ b/crates/decide/src/rows.rs
@@ -8,11 +8,11 @@
 pub const FEED: &str = "s/";
 /// Key of the [`HeadRow`].
 pub const HEAD: &str = "s/head";
-/// Key of the [`WeightsRow`], which holds the load permits.
+/// Key of the [`PermitsRow`], which holds the load permits.
 ///
 /// It is not part of the feed: it changes with every load and grows with the queue, and only the
 /// processes that decide or load need it, which read it directly.
-pub const WEIGHTS: &str = "permits/weights";
+pub const PERMITS: &str = "permits/weights";
 /// Number of configuration versions whose deltas are kept.
 pub const DELTA_RING: u64 = 64;
 
@@ -84,7 +84,7 @@
     pub urgency: u64,
     /// Part of the share in which its memory is reserved.
     #[prost(uint32, tag = "11")]
-    pub bucket: u32,
+    pub share_part: u32,
 }
 
 impl Replica {
@@ -224,7 +224,7 @@
 
 /// The weight store's permits.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct WeightsRow {
+pub struct PermitsRow {
     /// Permits in use.
     #[prost(message, repeated, tag = "1")]
     pub permits: Vec<Permit>,
@@ -282,9 +282,10 @@
     /// Headers of removed sections.
     #[prost(string, repeated, tag = "4")]
     pub removed: Vec<String>,
-    /// Whether the change is too large for the row, so that the object must be fetched.
+    /// Whether the row omits the changes, for example because they are too large, so that the object
+    /// must be fetched.
     #[prost(bool, tag = "5")]
-    pub whole: bool,
+    pub content_omitted: bool,
 }
 
 /// State of a claimed call.
@@ -316,7 +317,7 @@
     pub body: Vec<u8>,
     /// Hash of the request's body: another body under the same key is refused.
     #[prost(uint64, tag = "5")]
-    pub content: u64,
+    pub body_hash: u64,
     /// The answer's content type.
     #[prost(string, tag = "6")]
     pub content_type: String,
@@ -327,8 +328,8 @@
 pub enum RowKind<'a> {
     /// [`HeadRow`].
     Head,
-    /// [`WeightsRow`].
-    Weights,
+    /// [`PermitsRow`].
+    Permits,
     /// [`EndpointRow`] and the endpoint's name.
     Endpoint(&'a str),
     /// [`ModelRow`] and the model's name.
@@ -350,8 +351,8 @@
     if key == HEAD {
         return RowKind::Head;
     }
-    if key == WEIGHTS {
-        return RowKind::Weights;
+    if key == PERMITS {
+        return RowKind::Permits;
     }
     if let Some(name) = key.strip_prefix(ENDPOINT) {
         return RowKind::Endpoint(name);
@@ -416,7 +417,7 @@
 }
 
 /// Returns the name of a phase in logs and dumps.
-pub fn phase_word(phase: Phase) -> &'static str {
+pub fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Wanted => "wanted",
         Phase::Loading => "loading",
--- a/crates/decide/src/side/ledger.rs
+++ b/crates/decide/src/side/ledger.rs
@@ -9,7 +9,7 @@
     placement::{base_ready, fits_now},
     rows::{
         CacheRow, EndpointRow, ModelRow, Phase, Replica, ShareRow, cache_key, decode, endpoint_key,
-        model_key, phase_word, share_key,
+        model_key, phase_name, share_key,
     },
 };
 
@@ -145,7 +145,7 @@
                     self.calls.touch(&new.model, self.now);
                 }
                 let event = LogEvent::new("replica").with("model", &new.model);
-                out.push(SideEffect::Log(event.with("phase", phase_word(new.phase()))));
+                out.push(SideEffect::Log(event.with("phase", phase_name(new.phase()))));
             }
         }
         self.commit(txn, out);
@@ -203,7 +203,7 @@
         out: &mut Vec<SideEffect>,
     ) -> bool {
         let model = model_key(&removed.model);
-        let share = share_key(&removed.org, removed.bucket);
+        let share = share_key(&removed.org, removed.share_part);
         let (Some(model_read), Some(share_read)) = (self.cached(&model), self.cached(&share))
         else {
             self.read(vec![model, share], out);
--- a/crates/decide/src/side/mod.rs
+++ b/crates/decide/src/side/mod.rs
@@ -13,12 +13,12 @@
 
 pub use self::{
     calls::{Admission, Calls, RECORD_LIMIT},
-    types::{EngineReport, HeldModel, SideEffect, SideEvent, SideProfile},
+    types::{EngineModel, EngineReport, SideEffect, SideEvent, SideProfile},
 };
 use crate::{
     call::{CallId, CancelAnswer, Decline, Offer},
     log::LogEvent,
-    rows::{Cached, EndpointRow, HEAD, HeadRow, Phase, WEIGHTS, WeightsRow, decode, endpoint_key},
+    rows::{Cached, EndpointRow, HEAD, HeadRow, PERMITS, PermitsRow, Phase, decode, endpoint_key},
     view::Versioned,
 };
 
@@ -83,7 +83,7 @@
     verified_at: Option<Millis>,
     row: Versioned<EndpointRow>,
     row_known: bool,
-    permits_row: Versioned<WeightsRow>,
+    permits_row: Versioned<PermitsRow>,
     permits_changed: Millis,
     head: Versioned<HeadRow>,
     cache: Map<String, (Row, Millis)>,
@@ -160,14 +160,14 @@
             SideEvent::Tick => {}
             SideEvent::Rows(id, rows) => self.read_done(id, rows, out),
             SideEvent::ReadFailed(id) => drop(self.end_read(id)),
-            SideEvent::Committed(id, outcome) => self.committed(id, outcome, out),
-            SideEvent::Engine(report) => self.engine_listed(report),
+            SideEvent::TxnFinished(id, outcome) => self.txn_finished(id, outcome, out),
+            SideEvent::EngineListed(report) => self.engine_listed(report),
             SideEvent::OrderDone { order, done } => self.order_done(order, done),
             SideEvent::OrderLost(order) => self.order_lost(order),
             SideEvent::Offer(offer) => self.offer(&offer, out),
             SideEvent::Cancel { id, session, expires } => self.cancel(id, session, expires, out),
-            SideEvent::Ended(id) => self.calls.ended(now, id),
-            SideEvent::Poke(from) => self.subscribe(from),
+            SideEvent::CallEnded(id) => self.calls.ended(now, id),
+            SideEvent::RowChanged(from) => self.subscribe(from),
             SideEvent::Drain { give_back } => self.drain(give_back, out),
         }
         self.advance(out);
@@ -191,7 +191,7 @@
         for row in rows {
             if row.key == own {
                 self.apply_own_row(&row, asked_at, out);
-            } else if row.key == WEIGHTS {
+            } else if row.key == PERMITS {
                 self.apply_permits(&row);
             } else if row.key == HEAD {
                 if row.version > self.head.version {
@@ -291,8 +291,8 @@
             (None, None) => self.calls.offer(self.now, self.profile.slots, offer),
         };
         out.push(match admission {
-            Admission::Run => SideEffect::Run(offer.id),
-            Admission::Duplicate => SideEffect::Attach(offer.id),
+            Admission::Run => SideEffect::RunCall(offer.id),
+            Admission::Duplicate => SideEffect::AttachCall(offer.id),
             Admission::Declined(reason) => SideEffect::Decline(offer.id, reason),
         });
     }
@@ -325,9 +325,9 @@
             CancelAnswer::Unknown
         };
         if answer == CancelAnswer::Ran {
-            out.push(SideEffect::Stop(id));
+            out.push(SideEffect::AbortCall(id));
         }
-        out.push(SideEffect::Cancelled(id, answer));
+        out.push(SideEffect::AnswerCancel(id, answer));
     }
 
     fn drain(&mut self, give_back: bool, out: &mut Vec<SideEffect>) {
@@ -339,7 +339,7 @@
     }
 
     fn engine_has(&self, model: &str, ready: bool) -> bool {
-        let held = self.engine.iter().flat_map(|report| &report.held);
+        let held = self.engine.iter().flat_map(|report| &report.models);
         held.filter(|held| held.model == model).any(|held| held.ready || !ready)
     }
 
@@ -365,7 +365,7 @@
             self.read_requested = false;
             self.last_read = self.now;
             let own = endpoint_key(&self.profile.endpoint);
-            self.read(vec![own, WEIGHTS.to_owned(), HEAD.to_owned()], out);
+            self.read(vec![own, PERMITS.to_owned(), HEAD.to_owned()], out);
         }
     }
 
@@ -397,7 +397,7 @@
         out.push(SideEffect::Commit(id, txn));
     }
 
-    fn committed(&mut self, id: u64, outcome: Outcome, out: &mut Vec<SideEffect>) {
+    fn txn_finished(&mut self, id: u64, outcome: Outcome, out: &mut Vec<SideEffect>) {
         if self.txn.as_ref().is_none_or(|pending| pending.id != id) {
             return;
         }
--- a/crates/decide/src/side/permits.rs
+++ b/crates/decide/src/side/permits.rs
@@ -12,7 +12,7 @@
 use crate::{
     log::LogEvent,
     rows::{
-        EndpointRow, Permit, Phase, Replica, WEIGHTS, Waiter, WeightsRow, decode, endpoint_key,
+        EndpointRow, PERMITS, Permit, PermitsRow, Phase, Replica, Waiter, decode, endpoint_key,
     },
 };
 
@@ -63,7 +63,7 @@
         }
         permits_row.waiters.retain(|waiter| waiter.order != order);
         permits_row.permits.push(Permit { endpoint: self.profile.endpoint.clone(), order });
-        txn.put(WEIGHTS, self.permits_row.version, Some(permits_row.encode_to_vec()));
+        txn.put(PERMITS, self.permits_row.version, Some(permits_row.encode_to_vec()));
         let key = endpoint_key(&self.profile.endpoint);
         txn.put(key, self.row.version, Some(row.encode_to_vec()));
         self.commit(txn, out);
@@ -79,7 +79,7 @@
     /// The first waiter may be dead or lack memory, so a permit that this process has seen free for
     /// [`FIRST_WAITER_TIMEOUT_MS`] goes to any load. Other changes of the row do not reset that
     /// time: otherwise a busy queue would wait forever behind a stalled first waiter.
-    fn can_take_permit(&mut self, permits_row: &WeightsRow, order: u64) -> bool {
+    fn can_take_permit(&mut self, permits_row: &PermitsRow, order: u64) -> bool {
         if permits_row.permits.len() as u64 >= permits_row.concurrent_loads.max(1) {
             self.free_since = None;
             return false;
@@ -95,7 +95,7 @@
     /// returns whether a transaction was started.
     fn wait_for_permit(
         &mut self,
-        mut permits_row: WeightsRow,
+        mut permits_row: PermitsRow,
         replica: &Replica,
         out: &mut Vec<SideEffect>,
     ) -> bool {
@@ -111,7 +111,7 @@
         let (order, urgency) = (replica.order, replica.urgency);
         permits_row.waiters.push(Waiter { endpoint, order, urgency, passed: 0 });
         let mut txn = Txn::default();
-        txn.put(WEIGHTS, self.permits_row.version, Some(permits_row.encode_to_vec()));
+        txn.put(PERMITS, self.permits_row.version, Some(permits_row.encode_to_vec()));
         self.commit(txn, out);
         true
     }
@@ -125,7 +125,7 @@
     /// begun.
     fn drop_stale_permits(
         &mut self,
-        permits_row: &mut WeightsRow,
+        permits_row: &mut PermitsRow,
         txn: &mut Txn,
         out: &mut Vec<SideEffect>,
     ) -> bool {
@@ -194,7 +194,7 @@
             .waiters
             .retain(|it| it.endpoint != *own || phase(it.order) == Some(Phase::Wanted));
         if permits_row.permits.len() + permits_row.waiters.len() != before {
-            txn.put(WEIGHTS, self.permits_row.version, Some(permits_row.encode_to_vec()));
+            txn.put(PERMITS, self.permits_row.version, Some(permits_row.encode_to_vec()));
         }
     }
 
--- a/crates/decide/src/side/reconcile.rs
+++ b/crates/decide/src/side/reconcile.rs
@@ -90,7 +90,7 @@
             let transitional = matches!(replica.phase(), Phase::Loading | Phase::Unloading);
             transitional && !self.order_pending(&replica.model)
         });
-        let undecided = self.engine.iter().flat_map(|report| &report.held);
+        let undecided = self.engine.iter().flat_map(|report| &report.models);
         let undecided = undecided.filter(|held| row.replica(&held.model).is_none()).count();
         if order_due || undecided > 0 {
             self.read_requested = true;
@@ -116,7 +116,7 @@
     /// Such a model comes from a predecessor's order that reached the engine late. Its memory is
     /// not counted in the ledger and must be freed before anything is loaded.
     fn unload_undecided(&mut self, row: &EndpointRow, out: &mut Vec<SideEffect>) {
-        let held = self.engine.iter().flat_map(|report| report.held.clone()).collect::<Vec<_>>();
+        let held = self.engine.iter().flat_map(|report| report.models.clone()).collect::<Vec<_>>();
         for held in held {
             if row.replica(&held.model).is_none() && !self.order_pending(&held.model) {
                 let id = UNDECIDED_ORDER_BIT | citronrill_base::hash_bytes(held.model.as_bytes());
@@ -168,7 +168,7 @@
         for other in row.replicas.iter().filter(|other| other.model != replica.model) {
             total += other.held_mb();
         }
-        for held in self.engine.iter().flat_map(|report| &report.held) {
+        for held in self.engine.iter().flat_map(|report| &report.models) {
             let counted = row.replica(&held.model).map_or(0, Replica::held_mb);
             total += held.memory_mb.saturating_sub(counted);
         }
--- a/crates/decide/src/side/state.rs
+++ b/crates/decide/src/side/state.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns the name of the mode, for dumps.
-    pub fn mode_word(&self) -> &'static str {
+    pub fn mode_name(&self) -> &'static str {
         match self.mode {
             Mode::Starting => "starting",
             Mode::Serving => "serving",
--- a/crates/decide/src/side/types.rs
+++ b/crates/decide/src/side/types.rs
@@ -31,7 +31,7 @@
 
 /// A model that an engine has in accelerator memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldModel {
+pub struct EngineModel {
     /// The model's name.
     pub model: String,
     /// Whether the model is ready; otherwise it is still loading.
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EngineReport {
     /// Models in accelerator memory, loading ones included.
-    pub held: Vec<HeldModel>,
+    pub models: Vec<EngineModel>,
     /// Cached weights.
     pub cached: Vec<Cached>,
 }
@@ -59,9 +59,9 @@
     /// A read failed or timed out.
     ReadFailed(u64),
     /// Outcome of a transaction.
-    Committed(u64, Outcome),
+    TxnFinished(u64, Outcome),
     /// The engine's list of models; `None` if it did not answer.
-    Engine(Option<EngineReport>),
+    EngineListed(Option<EngineReport>),
     /// The engine executed or refused an order.
     OrderDone {
         /// The order's id.
@@ -83,9 +83,9 @@
         expires: u64,
     },
     /// The engine has finished a call.
-    Ended(CallId),
+    CallEnded(CallId),
     /// An entry reports that it changed the side's row, with the address for the side's new row.
-    Poke(String),
+    RowChanged(String),
     /// Drain: finish running calls and accept no new ones.
     Drain {
         /// Whether the endpoint is removed as well, so that its replicas are unloaded and their
@@ -128,15 +128,15 @@
         fence: u64,
     },
     /// Run an offered call.
-    Run(CallId),
+    RunCall(CallId),
     /// Attach the sender to a call that is running or has run.
-    Attach(CallId),
+    AttachCall(CallId),
     /// Report to the sender that a call will not run.
     Decline(CallId, Decline),
     /// Abort a call at the engine.
-    Stop(CallId),
+    AbortCall(CallId),
     /// Answer a cancellation.
-    Cancelled(CallId, CancelAnswer),
+    AnswerCancel(CallId, CancelAnswer),
     /// Send the side's row to an entry at an address.
     Announce(String, Row),
     /// Write a line to the log.
--- a/crates/decide/src/view.rs
+++ b/crates/decide/src/view.rs
@@ -10,8 +10,8 @@
 use prost::Message;
 
 use crate::rows::{
-    CacheRow, DeltaRow, EndpointRow, HeadRow, MemberRow, ModelRow, Phase, RowKind, ShareRow, Tier,
-    WeightsRow, decode, row_kind,
+    CacheRow, DeltaRow, EndpointRow, HeadRow, MemberRow, ModelRow, PermitsRow, Phase, RowKind,
+    ShareRow, Tier, decode, row_kind,
 };
 
 /// A row and the version at which it was read.
@@ -48,7 +48,7 @@
     /// The highest commit sequence seen.
     pub sequence: u64,
     /// The weight store's permits.
-    pub weights: Versioned<WeightsRow>,
+    pub permits_row: Versioned<PermitsRow>,
     /// The current configuration version.
     pub head: Versioned<HeadRow>,
     endpoints: Map<EndpointKey, Versioned<EndpointRow>>,
@@ -65,10 +65,10 @@
     ///
     /// Versions never decrease: otherwise a late or repeated answer of the table, a lagging peer or
     /// feed data that overlaps with a newer read would restore a replaced row.
-    pub fn absorb(&mut self, row: &Row) -> Option<Change> {
+    pub fn apply(&mut self, row: &Row) -> Option<Change> {
         self.sequence = self.sequence.max(row.version);
         match row_kind(&row.key) {
-            RowKind::Endpoint(name) => self.absorb_endpoint(name, row),
+            RowKind::Endpoint(name) => self.apply_endpoint(name, row),
             RowKind::Model(name) => {
                 let key = self.registry.models.intern(name);
                 update(self.models.entry(key).or_default(), row).then_some(Change::Model(key))
@@ -86,17 +86,17 @@
                 let key = self.registry.endpoints.intern(name);
                 update(self.caches.entry(key).or_default(), row).then_some(Change::Other)
             }
-            RowKind::Weights => update(&mut self.weights, row).then_some(Change::Other),
+            RowKind::Permits => update(&mut self.permits_row, row).then_some(Change::Other),
             RowKind::Head => {
                 let updated = update(&mut self.head, row);
                 self.head.row.clone().filter(|_| updated).map(Change::Head)
             }
-            RowKind::Delta => self.absorb_delta(row),
+            RowKind::Delta => self.apply_delta(row),
             RowKind::Other => None,
         }
     }
 
-    fn absorb_delta(&mut self, row: &Row) -> Option<Change> {
+    fn apply_delta(&mut self, row: &Row) -> Option<Change> {
         let known = self.deltas.entry(row.key.clone()).or_default();
         if row.version <= *known {
             return None;
@@ -105,7 +105,7 @@
         decode::<DeltaRow>(&row.body).map(Change::Delta)
     }
 
-    fn absorb_endpoint(&mut self, name: &str, row: &Row) -> Option<Change> {
+    fn apply_endpoint(&mut self, name: &str, row: &Row) -> Option<Change> {
         let key = self.registry.endpoints.intern(name);
         let versioned = self.endpoints.entry(key).or_default();
         let before = versioned.row.clone();
@@ -187,7 +187,7 @@
     }
 
     /// Returns the models that have a replica in any phase.
-    pub fn warm_models(&self) -> impl Iterator<Item = ModelKey> + '_ {
+    pub fn models_with_replicas(&self) -> impl Iterator<Item = ModelKey> + '_ {
         self.replicas.keys().copied()
     }
 
--- a/crates/decide/tests/entry.rs
+++ b/crates/decide/tests/entry.rs
@@ -5,8 +5,8 @@
 use citronrill_base::{Millis, Row};
 use citronrill_config::{digest, hash_api_key};
 use citronrill_decide::{
-    Arrival, Decline, Effect, Entry, EntryProfile, Event, Policies, Ran, RefusalKind, RequestId,
-    Wish,
+    Decline, Effect, Entry, EntryProfile, Event, IncomingRequest, Policies, Ran, RefusalKind,
+    RequestId, RequestTarget,
     rows::{EndpointRow, HEAD, HeadRow, Phase, Replica, endpoint_key},
 };
 use prost::Message;
@@ -71,8 +71,8 @@
         let config = config("m");
         let rows = vec![head(1, &config, 3), serving("a", 4), serving("b", 5)];
         harness.step(Event::Rows(rows));
-        harness.step(Event::Text { version: 1, text: config });
-        assert_eq!(harness.entry.version(), 1);
+        harness.step(Event::Config { version: 1, source: config });
+        assert_eq!(harness.entry.config_version(), 1);
         harness
     }
 
@@ -84,7 +84,7 @@
     }
 
     fn send_request(&mut self) -> Vec<Effect> {
-        self.step(arrival(ID))
+        self.step(request(ID))
     }
 }
 
@@ -96,14 +96,14 @@
 }
 
 /// A request for model `m` with this id.
-fn arrival(id: RequestId) -> Event {
-    Event::Arrive(Arrival {
+fn request(id: RequestId) -> Event {
+    Event::Request(IncomingRequest {
         id,
         key: hash_api_key("k"),
-        wish: Wish::Model("m".to_owned()),
+        target: RequestTarget::Model("m".to_owned()),
         deadline_ms: None,
-        once: None,
-        content: 0,
+        idempotency_key: None,
+        body_hash: 0,
         prefix: 0,
     })
 }
@@ -134,7 +134,7 @@
 fn refusal_after_a_lost_attempt_does_not_claim_not_run() {
     let mut harness = Harness::new();
     let first = sent(&harness.send_request()).unwrap();
-    let second = sent(&harness.step(Event::Lost(ID, first))).unwrap();
+    let second = sent(&harness.step(Event::ConnectionLost(ID, first))).unwrap();
     harness.step(declined(second));
     harness.now += 6_000;
     let effects = harness.step(Event::Tick { minute: 0 });
@@ -155,11 +155,11 @@
     let mut harness = Harness::new();
     let (old, new) = (config("m"), config("n"));
     harness.step(Event::Rows(vec![head(2, &new, 9)]));
-    harness.step(Event::Text { version: 2, text: new });
-    assert_eq!(harness.entry.version(), 2);
+    harness.step(Event::Config { version: 2, source: new });
+    assert_eq!(harness.entry.config_version(), 2);
     harness.step(Event::Rows(vec![head(1, &old, 3)]));
-    harness.step(Event::Text { version: 1, text: old });
-    assert_eq!(harness.entry.version(), 2);
+    harness.step(Event::Config { version: 1, source: old });
+    assert_eq!(harness.entry.config_version(), 2);
     assert_eq!(harness.entry.view().head.row.as_ref().unwrap().version, 2);
 }
 
@@ -168,8 +168,8 @@
 fn configuration_with_a_wrong_digest_is_ignored() {
     let mut harness = Harness::new();
     harness.step(Event::Rows(vec![head(2, &config("n"), 9)]));
-    harness.step(Event::Text { version: 2, text: config("forged") });
-    assert_eq!(harness.entry.version(), 1);
+    harness.step(Event::Config { version: 2, source: config("forged") });
+    assert_eq!(harness.entry.config_version(), 1);
 }
 
 /// Guards against a backoff of 13 s from an endpoint that is available.
@@ -181,13 +181,14 @@
 fn lost_calls_of_an_ended_side_do_not_suspend_its_successor() {
     let mut harness = Harness::new();
     harness.step(Event::Rows(vec![Row { key: endpoint_key("b"), version: 6, body: None }]));
-    let calls = (1..=4).map(|id| (RequestId(id), sent(&harness.step(arrival(RequestId(id))))));
+    let calls = (1..=4).map(|id| (RequestId(id), sent(&harness.step(request(RequestId(id))))));
     let calls = calls.collect::<Vec<_>>();
     let mut row = EndpointRow::decode(&*serving("a", 7).body.unwrap()).unwrap();
     (row.epoch, row.address) = (2, "a2".to_owned());
     let body = Some(row.encode_to_vec());
     harness.step(Event::Rows(vec![Row { key: endpoint_key("a"), version: 7, body }]));
-    let retried = calls.into_iter().map(|(id, call)| harness.step(Event::Lost(id, call.unwrap())));
+    let retried =
+        calls.into_iter().map(|(id, call)| harness.step(Event::ConnectionLost(id, call.unwrap())));
     let retried = retried.filter(|effects| sent(effects).is_some()).count();
     assert_eq!(retried, 4, "every request must be retried at the new side process at once");
 }
--- a/crates/decide/tests/side.rs
+++ b/crates/decide/tests/side.rs
@@ -5,7 +5,7 @@
 use citronrill_base::{Millis, Outcome, Row};
 use citronrill_config::Class;
 use citronrill_decide::{
-    Admission, CallId, Calls, CancelAnswer, Decline, EngineReport, HeldModel, Offer, Side,
+    Admission, CallId, Calls, CancelAnswer, Decline, EngineModel, EngineReport, Offer, Side,
     SideEffect, SideEvent, SideProfile, VERIFY_MS,
     rows::{EndpointRow, Phase, Replica, decode, endpoint_key},
 };
@@ -79,9 +79,9 @@
                     if let Some(write) = own {
                         self.row = Row { version, key: write.key, body: write.body };
                     }
-                    self.step(SideEvent::Committed(id, Outcome::Committed(version)))
+                    self.step(SideEvent::TxnFinished(id, Outcome::Committed(version)))
                 }
-                SideEffect::ListEngine => self.step(SideEvent::Engine(Some(engine.clone()))),
+                SideEffect::ListEngine => self.step(SideEvent::EngineListed(Some(engine.clone()))),
                 other => {
                     orders.push(other);
                     Vec::new()
@@ -111,7 +111,7 @@
     row.replicas.push(loading("m"));
     bench.row = Row { version: 50, body: Some(row.encode_to_vec()), ..bench.row.clone() };
     bench.now += 10_000;
-    let effects = bench.step(SideEvent::Poke("home".to_owned()));
+    let effects = bench.step(SideEvent::RowChanged("home".to_owned()));
     let read = effects.iter().find_map(|effect| match effect {
         SideEffect::Read(id, _) => Some(*id),
         _ => None,
@@ -119,7 +119,7 @@
     let before_pause = bench.row.clone();
     bench.now += VERIFY_MS + 60_000;
     let after_pause = bench.step(SideEvent::Rows(read.unwrap(), vec![before_pause]));
-    let listed = bench.step(SideEvent::Engine(Some(EngineReport::default())));
+    let listed = bench.step(SideEvent::EngineListed(Some(EngineReport::default())));
     assert_eq!(loads(&after_pause) + loads(&listed), 0);
     // The next read shows the successor's epoch.
     row.epoch = 2;
@@ -152,8 +152,8 @@
 fn a_successor_adopts_what_was_decided_and_unloads_the_rest() {
     let mut row = EndpointRow { epoch: 1, memory_mb: 100, ..EndpointRow::default() };
     row.replicas.push(loading("m"));
-    let held = |model: &str| HeldModel { model: model.to_owned(), ready: true, memory_mb: 40 };
-    let engine = EngineReport { held: vec![held("m"), held("stray")], cached: Vec::new() };
+    let loaded = |model: &str| EngineModel { model: model.to_owned(), ready: true, memory_mb: 40 };
+    let engine = EngineReport { models: vec![loaded("m"), loaded("stray")], cached: Vec::new() };
     let mut bench = Bench::new(true, Some(row), 3);
     let orders = bench.settle(&engine);
     let unloaded = orders.iter().filter_map(|effect| match effect {
@@ -250,7 +250,7 @@
         _ => None,
     });
     bench.now += 5;
-    bench.step(SideEvent::Engine(Some(EngineReport::default())));
+    bench.step(SideEvent::EngineListed(Some(EngineReport::default())));
     bench.now += 5;
     let claim = bench.step(SideEvent::Rows(read.unwrap(), vec![bench.row.clone()]));
     let (id, txn) = claim
@@ -262,10 +262,10 @@
         .unwrap();
     bench.row = Row { version: 4, body: txn.writes[0].body.clone(), ..bench.row.clone() };
     bench.now += 5;
-    let owned = bench.step(SideEvent::Committed(id, Outcome::Committed(4)));
+    let owned = bench.step(SideEvent::TxnFinished(id, Outcome::Committed(4)));
     // The answer to a list request from before the claim arrives late.
     bench.now += 5;
-    let late = bench.step(SideEvent::Engine(Some(EngineReport::default())));
+    let late = bench.step(SideEvent::EngineListed(Some(EngineReport::default())));
     let commits = |effects: &[SideEffect]| {
         effects.iter().any(|effect| matches!(effect, SideEffect::Commit(..)))
     };
@@ -281,8 +281,8 @@
 fn a_load_waits_for_memory_that_an_undecided_model_takes() {
     let mut row = EndpointRow { epoch: 1, memory_mb: 100, ..EndpointRow::default() };
     row.replicas.push(loading("m"));
-    let stray = HeldModel { model: "stray".to_owned(), ready: true, memory_mb: 60 };
-    let engine = EngineReport { held: vec![stray], cached: Vec::new() };
+    let stray = EngineModel { model: "stray".to_owned(), ready: true, memory_mb: 60 };
+    let engine = EngineReport { models: vec![stray], cached: Vec::new() };
     let mut bench = Bench::new(true, Some(row), 3);
     let orders = bench.settle(&engine);
     assert_eq!(loads(&orders), 0, "{orders:?}");
@@ -308,6 +308,6 @@
     let expires = bench.now + 1_000;
     for (session, expected) in [(6, CancelAnswer::Unknown), (7, CancelAnswer::NotRun)] {
         let effects = bench.step(SideEvent::Cancel { id, session, expires });
-        assert!(effects.contains(&SideEffect::Cancelled(id, expected)), "{effects:?}");
+        assert!(effects.contains(&SideEffect::AnswerCancel(id, expected)), "{effects:?}");
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -72,17 +72,17 @@
 }
 
 /// Writes a response. Each part is flushed, so that a token is not delayed until the next one.
-pub struct Answer {
+pub struct ResponseWriter {
     out: Box<dyn Write + Send>,
     chunked: bool,
 }
 
-impl Answer {
+impl ResponseWriter {
     /// Begins a response of unknown length.
     ///
     /// # Errors
     /// The caller has disconnected.
-    pub fn begin(request: Request, status: u16, headers: &[Header]) -> io::Result<Answer> {
+    pub fn begin(request: Request, status: u16, headers: &[Header]) -> io::Result<ResponseWriter> {
         let chunked = *request.http_version() >= HTTPVersion(1, 1);
         let mut head = head(status, headers);
         if chunked {
@@ -92,14 +92,14 @@
         let mut out = request.into_writer();
         out.write_all(head.as_bytes())?;
         out.flush()?;
-        Ok(Answer { out, chunked })
+        Ok(ResponseWriter { out, chunked })
     }
 
     /// Writes and flushes a part of the body.
     ///
     /// # Errors
     /// The caller has disconnected or does not accept the data in time.
-    pub fn part(&mut self, data: &[u8]) -> io::Result<()> {
+    pub fn write_part(&mut self, data: &[u8]) -> io::Result<()> {
         if data.is_empty() {
             return Ok(());
         }
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     /// The caller has disconnected.
-    pub fn end(mut self) -> io::Result<()> {
+    pub fn finish(mut self) -> io::Result<()> {
         if self.chunked {
             self.out.write_all(b"0\r\n\r\n")?;
         }
@@ -129,7 +129,7 @@
     ///
     /// The server library keeps the connection open, so closing it cannot be the signal. An invalid
     /// chunk size makes HTTP libraries report a malformed body.
-    pub fn cut(mut self) {
+    pub fn abort(mut self) {
         if self.chunked {
             let _ = self.out.write_all(b"cut\r\n");
         }
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -4,11 +4,11 @@
 
 use citronrill_base::Map;
 use citronrill_decide::{
-    CallId, HeldModel,
+    CallId, EngineModel,
     rows::{Cached, Tier},
 };
 
-use crate::world::cached;
+use crate::simulation::cached;
 
 /// Number of models whose weights stay cached in RAM.
 const RAM_CACHE_MODELS: usize = 6;
@@ -94,8 +94,8 @@
         self.models.values().map(|state| state.memory_mb).sum()
     }
 
-    pub(crate) fn report(&self) -> Vec<HeldModel> {
-        let model = |(model, state): (&String, &ModelState)| HeldModel {
+    pub(crate) fn report(&self) -> Vec<EngineModel> {
+        let model = |(model, state): (&String, &ModelState)| EngineModel {
             model: model.clone(),
             ready: state.ready,
             memory_mb: state.memory_mb,
--- a/crates/lab/src/fuzz.rs
+++ b/crates/lab/src/fuzz.rs
@@ -6,7 +6,7 @@
 use crate::{
     faults::Faults,
     oracle::check_invariants,
-    world::{Simulation, SimulationOptions},
+    simulation::{Simulation, SimulationOptions},
 };
 
 const ENTRIES: usize = 3;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -10,8 +10,8 @@
 mod oracle;
 mod replay;
 mod scale;
+mod simulation;
 mod traces;
-mod world;
 
 use thiserror::Error;
 
@@ -19,13 +19,15 @@
     faults::Faults,
     fuzz::{Action, FuzzReport, fuzz, fuzz_config, fuzz_simulation, random_actions},
     oracle::{GRACE_MS, check_invariants},
-    replay::{FIXED_LONG, FIXED_MIDDLE, FIXED_SHORT, NAIVE, OURS, ReplayReport, Rules, replay},
-    scale::{PLAN, ScaleReport, Size, scale},
-    traces::{Deployment, LITORAL, TraceRequest, VIENNA, WORKER_MB},
-    world::{
+    replay::{
+        DEFAULT, FIXED_LONG, FIXED_MIDDLE, FIXED_SHORT, NAIVE, PolicySet, ReplayReport, replay,
+    },
+    scale::{PLANNED_SIZE, ScaleReport, Size, scale},
+    simulation::{
         Meters, Operations, RequestOutcome, RequestRecord, Simulation, SimulationOptions,
         test_api_key,
     },
+    traces::{Deployment, LITORAL, TraceRequest, VIENNA, WORKER_MB},
 };
 
 /// Error of an experiment.
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -4,10 +4,10 @@
 
 use citronrill_base::Row;
 use citronrill_decide::rows::{
-    EndpointRow, ModelRow, Phase, RowKind, ShareRow, WeightsRow, decode, row_kind,
+    EndpointRow, ModelRow, PermitsRow, Phase, RowKind, ShareRow, decode, row_kind,
 };
 
-use crate::world::Simulation;
+use crate::simulation::Simulation;
 
 /// Maximum time from a request's deadline to its final answer, in milliseconds: the grace period in
 /// which a side may report whether the call ran, two ticks, and the network delays.
@@ -19,7 +19,7 @@
     endpoints: BTreeMap<String, EndpointRow>,
     models: BTreeMap<String, ModelRow>,
     shares: BTreeMap<String, (u64, i64)>,
-    weights: WeightsRow,
+    permits_row: PermitsRow,
 }
 
 impl TableState {
@@ -39,7 +39,7 @@
                     total.0 += share.used_mb;
                     total.1 += share.balance_mb;
                 }
-                RowKind::Weights => state.weights = decode(&row.body).unwrap_or_default(),
+                RowKind::Permits => state.permits_row = decode(&row.body).unwrap_or_default(),
                 _ => {}
             }
         }
@@ -164,7 +164,7 @@
 
 fn check_permits(sim: &Simulation, state: &TableState, violations: &mut Vec<String>) {
     let limit = sim.catalogue.pool.concurrent_loads;
-    let permits = &state.weights.permits;
+    let permits = &state.permits_row.permits;
     if permits.len() as u64 > limit {
         violations.push(format!("{} permits are taken, the limit is {limit}", permits.len()));
     }
--- a/crates/lab/src/replay.rs
+++ b/crates/lab/src/replay.rs
@@ -2,12 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use citronrill_decide::{AnyReplica, EmptiestPlace, FixedKeep, Policies, load_ms, rows::Tier};
+use citronrill_decide::{
+    FixedKeepAlive, MostFreePlacement, Policies, RandomReplica, load_ms, rows::Tier,
+};
 use hdrhistogram::Histogram;
 
 use crate::{
+    simulation::{Operations, RequestOutcome, RequestRecord, Simulation, SimulationOptions},
     traces::{Deployment, TraceRequest, WORKER_MB},
-    world::{Operations, RequestOutcome, RequestRecord, Simulation, SimulationOptions},
 };
 
 const ENTRIES: usize = 3;
@@ -26,7 +28,7 @@
 
 /// A set of policies to replay with.
 #[derive(Clone, Copy)]
-pub struct Rules {
+pub struct PolicySet {
     /// Name in the printed table.
     pub name: &'static str,
     /// Creates the policies.
@@ -34,30 +36,33 @@
 }
 
 /// The default policies.
-pub const OURS: Rules = Rules { name: "ours", policies: Policies::default };
+pub const DEFAULT: PolicySet = PolicySet { name: "ours", policies: Policies::default };
 
 /// Naive policies: load where most memory is free, keep for ten minutes, route to a random replica,
 /// and let every entry decide without a coordinator.
-pub const NAIVE: Rules = Rules { name: "naive", policies: naive };
+pub const NAIVE: PolicySet = PolicySet { name: "naive", policies: naive };
 
 /// The default policies with a fixed keep-alive time of a minute.
-pub const FIXED_SHORT: Rules = Rules { name: "ours, keep 1 min", policies: || fixed(60_000) };
+pub const FIXED_SHORT: PolicySet =
+    PolicySet { name: "ours, keep 1 min", policies: || fixed(60_000) };
 /// As [`FIXED_SHORT`], with 15 minutes.
-pub const FIXED_MIDDLE: Rules = Rules { name: "ours, keep 15 min", policies: || fixed(900_000) };
+pub const FIXED_MIDDLE: PolicySet =
+    PolicySet { name: "ours, keep 15 min", policies: || fixed(900_000) };
 /// As [`FIXED_SHORT`], with 3 hours.
-pub const FIXED_LONG: Rules = Rules { name: "ours, keep 3 h", policies: || fixed(10_800_000) };
+pub const FIXED_LONG: PolicySet =
+    PolicySet { name: "ours, keep 3 h", policies: || fixed(10_800_000) };
 
 fn naive() -> Policies {
     Policies {
-        placement: Box::new(EmptiestPlace),
-        router: Box::new(AnyReplica),
-        keep: Box::new(FixedKeep(NAIVE_KEEP_MS)),
-        homes: false,
+        placement: Box::new(MostFreePlacement),
+        router: Box::new(RandomReplica),
+        keep_alive: Box::new(FixedKeepAlive(NAIVE_KEEP_MS)),
+        coordinators: false,
     }
 }
 
 fn fixed(millis: u64) -> Policies {
-    Policies { keep: Box::new(FixedKeep(millis)), ..Policies::default() }
+    Policies { keep_alive: Box::new(FixedKeepAlive(millis)), ..Policies::default() }
 }
 
 /// Result of a replay, over the days after the warm-up.
@@ -68,12 +73,12 @@
     /// Number of refused requests.
     pub refused: u64,
     /// Number of cold starts: loads of a model for which a request waited.
-    pub colds: u64,
+    pub cold_starts: u64,
     /// Time to first byte of cold requests, in milliseconds: p50, p99, p99.9.
     pub cold_ms: [u64; 3],
     /// Lower bound for the same requests, in milliseconds: load time from the fastest cache, with an
     /// idle weight store.
-    pub bound_ms: [u64; 3],
+    pub lower_bound_ms: [u64; 3],
     /// Hours in which a ready model had no running call.
     pub idle_hours: f64,
     /// Idle hours of a keep-alive policy that knows each next arrival, with as many cold starts.
@@ -87,7 +92,12 @@
 }
 
 /// Replays `days` days and reports on those after the first `warm_up`.
-pub fn replay(deployment: &Deployment, rules: &Rules, days: u64, warm_up: u64) -> ReplayReport {
+pub fn replay(
+    deployment: &Deployment,
+    policy_set: &PolicySet,
+    days: u64,
+    warm_up: u64,
+) -> ReplayReport {
     let trace = deployment.trace(days, 42);
     let mut sim = Simulation::new(SimulationOptions {
         seed: 7,
@@ -97,7 +107,7 @@
         zones: deployment.zones.iter().map(|zone| (*zone).to_owned()).collect(),
         slots: SLOTS,
         tick_ms: TICKS,
-        policies: rules.policies,
+        policies: policy_set.policies,
         keep_finished: false,
     });
     seed_caches(&mut sim, deployment);
@@ -189,7 +199,7 @@
         // Several requests that wait for the same load are one cold start.
         let last = self.last_cold.entry(request.model.clone()).or_insert(0);
         if request.arrived > *last {
-            self.report.colds += 1;
+            self.report.cold_starts += 1;
         }
         *last = (*last).max(first_byte);
     }
@@ -198,7 +208,7 @@
         let (idle, loads, operations) = self.baseline.unwrap_or_default();
         let quantiles = |it: &Histogram<u64>| [0.5, 0.99, 0.999].map(|q| it.value_at_quantile(q));
         self.report.cold_ms = quantiles(&self.cold);
-        self.report.bound_ms = quantiles(&self.bound);
+        self.report.lower_bound_ms = quantiles(&self.bound);
         self.report.idle_hours = sim.idle_hours() - idle;
         self.report.loads = sim.loads() - loads;
         self.report.operations = sim.operations.since(operations);
@@ -230,7 +240,7 @@
 
     /// Returns the number of cold starts, including loads of an adapter alone on a base that is ready.
     fn base_cold_starts(&self) -> usize {
-        self.report.colds as usize
+        self.report.cold_starts as usize
     }
 }
 
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -6,7 +6,7 @@
 use citronrill_decide::{Policies, rows::model_key};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::world::{Operations, Simulation, SimulationOptions};
+use crate::simulation::{Operations, Simulation, SimulationOptions};
 
 /// Memory of a worker with eight accelerators, in MB.
 const WORKER_MB: u64 = 640_000;
@@ -33,18 +33,18 @@
     /// Requests per second, over all entries.
     pub requests: u64,
     /// Requests per hour for rarely used adapters, which need a cold start.
-    pub wakes: u64,
+    pub cold_requests: u64,
 }
 
 /// The planned size.
-pub const PLAN: Size = Size {
+pub const PLANNED_SIZE: Size = Size {
     entries: 340,
     sides: 610,
     models: 330,
     adapters: 8_400,
     zones: 7,
     requests: 4_300,
-    wakes: 2_095,
+    cold_requests: 2_095,
 };
 
 /// Results for one size.
@@ -53,11 +53,11 @@
     /// Duration of the steady state, in virtual seconds.
     pub seconds: f64,
     /// Table operations in the steady state.
-    pub calm: Operations,
+    pub steady: Operations,
     /// Control bytes sent and received by an entry per second: mean and maximum.
     pub entry_bytes: (f64, f64),
     /// Bytes received per second by an entry on average, by purpose.
-    pub kinds: Vec<(&'static str, f64)>,
+    pub bytes_by_kind: Vec<(&'static str, f64)>,
     /// Control bytes sent by a side per second: mean.
     pub side_bytes: f64,
     /// Time spent in an entry's reducer, in microseconds per second.
@@ -71,13 +71,13 @@
     /// Milliseconds until the drain of an endpoint is known at 99 of 100 entries.
     pub leaving_ms: u64,
     /// Transactions on the row of a cold model that is requested at all entries, and their conflicts.
-    pub burst: (u64, u64),
+    pub burst_commits: (u64, u64),
     /// Table operations in the ten seconds after a hundred cold models were requested at once.
-    pub morning: Operations,
+    pub cold_burst: Operations,
     /// Table operations in the thirty seconds after a zone was lost.
-    pub zone: Operations,
+    pub zone_loss: Operations,
     /// Table operations in the ten seconds after a zone's processes restarted at once.
-    pub restart: Operations,
+    pub zone_restart: Operations,
     /// Number of rows in an entry's view.
     pub rows: usize,
 }
@@ -138,17 +138,17 @@
     /// Sends requests for busy models and, rarely, for adapters that need a cold start.
     fn run_traffic(&mut self, millis: u64) {
         let busy = (self.size.models / 4).max(1);
-        let (mut requests, mut wakes) = (0.0, 0.0);
+        let (mut requests, mut cold_requests) = (0.0, 0.0);
         for _ in 0..millis / 10 {
             requests += self.size.requests as f64 / 100.0;
-            wakes += self.size.wakes as f64 / 360_000.0;
+            cold_requests += self.size.cold_requests as f64 / 360_000.0;
             while requests >= 1.0 {
                 requests -= 1.0;
                 let model = self.rng.random_range(0..busy);
                 self.request(&format!("m{model}"));
             }
-            while wakes >= 1.0 {
-                wakes -= 1.0;
+            while cold_requests >= 1.0 {
+                cold_requests -= 1.0;
                 let adapter = self.rng.random_range(0..self.size.adapters.max(1));
                 self.request(&format!("a{adapter}"));
             }
@@ -177,14 +177,14 @@
         let meters = self.sim.meters();
         self.run_traffic(seconds * 1_000);
         let after = self.sim.meters();
-        report.calm = self.sim.operations.since(before);
+        report.steady = self.sim.operations.since(before);
         let bytes = |index: usize| {
             (after.entry_bytes[index] - meters.entry_bytes[index]) as f64 / seconds as f64
         };
         let all = (0..self.size.entries).map(bytes).collect::<Vec<_>>();
         let mean = all.iter().sum::<f64>() / all.len() as f64;
         report.entry_bytes = (mean, all.iter().copied().fold(0.0, f64::max));
-        report.kinds = after
+        report.bytes_by_kind = after
             .by_kind
             .iter()
             .map(|(kind, bytes)| {
@@ -211,7 +211,7 @@
             }
         }
         self.sim.advance(6_000);
-        report.burst = self.sim.watched_commits();
+        report.burst_commits = self.sim.watched_commits();
     }
 
     /// Returns the milliseconds until `sees` holds at a fraction of the entries.
@@ -233,7 +233,7 @@
         self.sim.apply_config(&changed);
         let version = 2;
         report.config_ms =
-            self.propagation_ms(1.0, |sim, index| sim.entry(index).version() == version);
+            self.propagation_ms(1.0, |sim, index| sim.entry(index).config_version() == version);
         let model = format!("m{}", self.size.models - 2);
         self.sim.request(0, &model, None, None);
         let sees_placement = |sim: &Simulation, index: usize| {
@@ -263,7 +263,7 @@
             }
         }
         self.sim.advance(10_000);
-        report.morning = self.sim.operations.since(before);
+        report.cold_burst = self.sim.operations.since(before);
         self.sim.advance(20_000);
         let in_zone = |index: &usize| index % self.size.zones == 1;
         let before = self.sim.operations;
@@ -274,7 +274,7 @@
             self.sim.kill_endpoint(index);
         }
         self.sim.advance(30_000);
-        report.zone = self.sim.operations.since(before);
+        report.zone_loss = self.sim.operations.since(before);
         let in_zone = |index: &usize| index % self.size.zones == 2;
         for index in (0..self.size.entries).filter(in_zone) {
             self.sim.kill_entry(index);
@@ -284,6 +284,6 @@
             self.sim.restart_entry(index);
         }
         self.sim.advance(10_000);
-        report.restart = self.sim.operations.since(before);
+        report.zone_restart = self.sim.operations.since(before);
     }
 }
--- a/crates/lab/src/world/calls.rs
+++ b/crates/lab/src/simulation/calls.rs
@@ -9,7 +9,7 @@
 
     pub(super) fn offer(&mut self, to: &str, attempt: Attempt, offer: Offer) {
         let Some(side) = self.running_side(to) else {
-            let event = Event::Unsent(attempt.id, attempt.call);
+            let event = Event::NotSent(attempt.id, attempt.call);
             return self.notify_entry(attempt, event);
         };
         self.sides[side].attempts.insert(offer.id, attempt);
@@ -55,7 +55,7 @@
         self.accumulate_idle();
         self.engines[endpoint].begin_call(&model, call);
         let ttfb = self.rng.random_range(20..80);
-        self.notify_entry_after(ttfb, attempt, Event::Began(attempt.id, attempt.call));
+        self.notify_entry_after(ttfb, attempt, Event::ResponseStarted(attempt.id, attempt.call));
         let request = self.requests.get_mut(&attempt.id);
         if let Some(request) = request.filter(|request| request.first_byte_at.is_none()) {
             request.first_byte_at = Some(now + ttfb);
@@ -102,7 +102,7 @@
             let delay = self.sides[side].paused_until - self.now;
             return self.schedule(delay, SimEvent::CallFinished { side, incarnation, call });
         }
-        self.deliver_side(side, incarnation, SideEvent::Ended(call));
+        self.deliver_side(side, incarnation, SideEvent::CallEnded(call));
         let Some(attempt) = self.sides[side].attempts.remove(&call) else { return };
         let load = self.sides[side].reducer.running() as u32;
         let claimed = self.requests.get(&attempt.id).and_then(|request| request.idempotency_key);
@@ -114,7 +114,7 @@
         self.complete(attempt);
         self.notify_entry(
             attempt,
-            Event::Ended { id: attempt.id, call: attempt.call, load, answer },
+            Event::ResponseFinished { id: attempt.id, call: attempt.call, load, answer },
         );
     }
 
@@ -171,7 +171,7 @@
             _ => {
                 let ended = self.requests.get(&attempt.id).is_none_or(|it| it.ended.is_some());
                 if !ended && self.is_current(attempt) {
-                    self.notify_entry(attempt, Event::Lost(attempt.id, attempt.call));
+                    self.notify_entry(attempt, Event::ConnectionLost(attempt.id, attempt.call));
                 }
             }
         }
@@ -210,12 +210,14 @@
         }
         let cancelling = self.entries[attempt.entry].reducer.is_cancelling(attempt.id);
         let event = match answer {
-            _ if cancelling => Event::Cancelled(attempt.id, attempt.call, answer),
+            _ if cancelling => Event::CancelAnswered(attempt.id, attempt.call, answer),
             CancelAnswer::NotRun => {
                 let (id, call, why) = (attempt.id, attempt.call, Decline::Cancelled);
                 Event::Declined { id, call, why, load: 0 }
             }
-            CancelAnswer::Ran | CancelAnswer::Unknown => Event::Lost(attempt.id, attempt.call),
+            CancelAnswer::Ran | CancelAnswer::Unknown => {
+                Event::ConnectionLost(attempt.id, attempt.call)
+            }
         };
         self.notify_entry(attempt, event);
     }
--- a/crates/lab/src/world/effects.rs
+++ b/crates/lab/src/simulation/effects.rs
@@ -40,7 +40,7 @@
                 self.record_outcome(id, RequestOutcome::Refused(refusal))
             }
             Effect::Replay(id, _) => self.record_outcome(id, RequestOutcome::Replayed),
-            Effect::Models(..) | Effect::Log(_) | Effect::Configured(_) => {}
+            Effect::ListModels(..) | Effect::Log(_) | Effect::ConfigActivated(_) => {}
             Effect::Feed(effect) => self.feed_effect(index, incarnation, effect),
             Effect::Commit(id, txn) => {
                 let delay = self.table_delay();
@@ -54,11 +54,12 @@
                 let delay = self.table_delay();
                 self.schedule(delay, SimEvent::ClaimRead { from: index, incarnation, id, key });
             }
-            Effect::FetchText(head) => {
+            Effect::FetchConfig(head) => {
                 let config = self.configs.get(&head.version).cloned();
-                let peer = self.entries.iter().any(|it| it.reducer.version() == head.version);
+                let peer =
+                    self.entries.iter().any(|it| it.reducer.config_version() == head.version);
                 if let Some(config) = config.filter(|_| peer || !self.faults.table_down) {
-                    let event = Event::Text { version: head.version, text: config };
+                    let event = Event::Config { version: head.version, source: config };
                     let delay = self.table_delay();
                     self.schedule(delay, SimEvent::ToEntry(index, incarnation, event));
                 }
@@ -74,27 +75,27 @@
                 self.count_frame(index, &to, &frame.into());
                 self.send_message(to, Event::Demand(demand));
             }
-            Effect::Heard { to, model } => {
+            Effect::AckDemand { to, model } => {
                 let frame = wire::DemandReply { model: model.clone(), kind: 3 };
                 self.count_frame(index, &to, &frame.into());
-                self.send_message(to, Event::Heard(model));
+                self.send_message(to, Event::DemandAcked(model));
             }
-            Effect::Verdict { to, model, kind } => {
+            Effect::RefuseLoad { to, model, kind } => {
                 let frame = wire::DemandReply { model: model.clone(), kind: 0 };
                 self.count_frame(index, &to, &frame.into());
-                self.send_message(to, Event::Verdict { model, kind });
+                self.send_message(to, Event::LoadRefused { model, kind });
             }
             Effect::Announce { to, row } => {
                 self.count_frame(index, &to, &rows_frame(std::slice::from_ref(&row)));
-                self.send_message(to, Event::Told(vec![row]));
+                self.send_message(to, Event::Announced(vec![row]));
             }
-            Effect::Poke { address, from, .. } => {
+            Effect::NotifySide { address, from, .. } => {
                 let side = self.sides.iter().position(|it| it.profile.address == address);
                 if let Some(side) = side {
                     let (incarnation, delay) = (self.sides[side].incarnation, self.network_delay());
                     self.schedule(
                         delay,
-                        SimEvent::ToSide(side, incarnation, SideEvent::Poke(from)),
+                        SimEvent::ToSide(side, incarnation, SideEvent::RowChanged(from)),
                     );
                 }
             }
@@ -120,15 +121,15 @@
 
     pub(super) fn feed_effect(&mut self, from: usize, incarnation: u64, effect: FeedEffect) {
         match effect {
-            FeedEffect::Ask { id, source: Source::Table, since } => {
+            FeedEffect::Pull { id, source: Source::Table, since } => {
                 let delay = self.table_delay();
                 self.schedule(delay, SimEvent::ReadChanges { from, incarnation, id, since });
             }
-            FeedEffect::Ask { id, source: Source::Peer(to), since } => {
+            FeedEffect::Pull { id, source: Source::Peer(to), since } => {
                 let delay = self.network_delay();
                 self.schedule(delay, SimEvent::Pull { from, incarnation, id, to, since });
             }
-            FeedEffect::Answer { pull, page } => {
+            FeedEffect::AnswerPull { pull, page } => {
                 if let Some((to, incarnation, id)) = self.pending_pulls.remove(&pull) {
                     let name = self.entries[to].name.clone();
                     self.count_frame(from, &name, &rows_frame(&page.rows));
@@ -138,7 +139,7 @@
                         &wire::FeedPull { id, since: page.sequence }.into(),
                     );
                     let delay = self.network_delay();
-                    let event = Event::Fed(id, Some(page));
+                    let event = Event::FeedAnswer(id, Some(page));
                     self.schedule(delay, SimEvent::ToEntry(to, incarnation, event));
                 }
             }
@@ -148,13 +149,14 @@
     pub(super) fn pull(&mut self, from: usize, incarnation: u64, id: u64, to: &str, since: u64) {
         let target = self.entries.iter().position(|it| it.alive && it.name == to);
         let Some(target) = target else {
-            return self.schedule(1, SimEvent::ToEntry(from, incarnation, Event::Fed(id, None)));
+            return self
+                .schedule(1, SimEvent::ToEntry(from, incarnation, Event::FeedAnswer(id, None)));
         };
         self.next_event += 1;
         let pull = self.next_event;
         self.pending_pulls.insert(pull, (from, incarnation, id));
         let target_life = self.entries[target].incarnation;
-        self.deliver_entry(target, target_life, Event::Pull { pull, since });
+        self.deliver_entry(target, target_life, Event::FeedPull { pull, since });
     }
 
     pub(super) fn side_effect(&mut self, index: SideIndex, incarnation: u64, effect: SideEffect) {
@@ -181,16 +183,16 @@
                     SimEvent::EngineUnload { from: index, incarnation, order, model, fence };
                 self.schedule(delay, unload);
             }
-            SideEffect::Run(call) => self.run_call(index, incarnation, call),
-            SideEffect::Attach(_) => {}
+            SideEffect::RunCall(call) => self.run_call(index, incarnation, call),
+            SideEffect::AttachCall(_) => {}
             SideEffect::Decline(call, why) => self.declined(index, call, why),
-            SideEffect::Stop(call) => {
+            SideEffect::AbortCall(call) => {
                 self.schedule(5, SimEvent::CallFinished { side: index, incarnation, call });
             }
-            SideEffect::Cancelled(call, answer) => self.cancel_answer(index, call, answer),
+            SideEffect::AnswerCancel(call, answer) => self.cancel_answer(index, call, answer),
             SideEffect::Announce(to, row) => {
                 self.meters.side_bytes += frame_bytes(&rows_frame(std::slice::from_ref(&row)));
-                self.send_message(to, Event::Told(vec![row]));
+                self.send_message(to, Event::Announced(vec![row]));
             }
             SideEffect::Log(_) => {}
             SideEffect::Superseded | SideEffect::Drained => {
@@ -220,9 +222,9 @@
     pub(super) fn engine_list(&mut self, from: SideIndex, incarnation: u64) {
         let engine = &self.engines[self.sides[from].endpoint];
         let report =
-            engine.alive.then(|| EngineReport { held: engine.report(), cached: engine.cached() });
+            engine.alive.then(|| EngineReport { models: engine.report(), cached: engine.cached() });
         let delay = self.network_delay();
-        self.schedule(delay, SimEvent::ToSide(from, incarnation, SideEvent::Engine(report)));
+        self.schedule(delay, SimEvent::ToSide(from, incarnation, SideEvent::EngineListed(report)));
     }
 
     pub(super) fn engine_load(&mut self, from: SideIndex, incarnation: u64, order: &LoadOrder) {
--- a/crates/lab/src/world/frames.rs
+++ b/crates/lab/src/simulation/frames.rs
@@ -37,7 +37,7 @@
         RowKind::Endpoint(_) => "endpoint rows",
         RowKind::Model(_) => "model rows",
         RowKind::Share(..) => "share rows",
-        RowKind::Weights => "permit rows",
+        RowKind::Permits => "permit rows",
         RowKind::Member(_) => "member rows",
         RowKind::Cache(_) => "cache rows",
         RowKind::Head | RowKind::Delta | RowKind::Other => "text rows",
--- a/crates/lab/src/world/life.rs
+++ b/crates/lab/src/simulation/lifecycle.rs
@@ -30,7 +30,8 @@
             session: 1_000_000 + index as u64,
         };
         let peer = Peer { name, address: profile.address.clone(), zone: profile.zone.clone() };
-        self.instances.insert(peer.name.clone(), Listed { peer, entry: false, leaving: false });
+        self.instances
+            .insert(peer.name.clone(), ListedInstance { peer, entry: false, leaving: false });
         let started_at = self.now;
         let reducer = Side::new(profile.clone(), Millis(0));
         let attempts = Map::default();
@@ -56,7 +57,7 @@
         let reducer = self.new_entry(&name, index, index as u64 + 1);
         let address = name.clone();
         let peer = Peer { name: name.clone(), address, zone: self.zone(index) };
-        self.instances.insert(name.clone(), Listed { peer, entry: true, leaving: false });
+        self.instances.insert(name.clone(), ListedInstance { peer, entry: true, leaving: false });
         let started_at = self.now;
         let session = index as u64 + 1;
         let (incarnation, paused_until, alive, config_version, was_paused) = (0, 0, true, 0, false);
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -6,7 +6,7 @@
 mod calls;
 mod effects;
 mod frames;
-mod life;
+mod lifecycle;
 mod meters;
 mod table;
 
@@ -19,9 +19,9 @@
 use citronrill_base::{Map, Millis, Outcome, Row, Txn};
 use citronrill_config::{Catalogue, Registry, digest, hash_api_key};
 use citronrill_decide::{
-    Answer, Arrival, CallId, CancelAnswer, Decline, Effect, EngineReport, Entry, EntryProfile,
-    Event, FeedEffect, Listed, Offer, PAGE, Page, Peer, Policies, Refusal, RequestId, Side,
-    SideEffect, SideEvent, SideProfile, Source, Wish,
+    Answer, CallId, CancelAnswer, Decline, Effect, EngineReport, Entry, EntryProfile, Event,
+    FeedEffect, IncomingRequest, ListedInstance, Offer, PAGE_ROWS, Page, Peer, Policies, Refusal,
+    RequestId, RequestTarget, Side, SideEffect, SideEvent, SideProfile, Source,
     rows::{Cached, DeltaRow, FEED, HEAD, HeadRow, Tier, decode, delta_key},
 };
 use citronrill_platform::{MemoryTable, Table};
@@ -231,7 +231,7 @@
     scheduled: Map<u64, SimEvent>,
     next_event: u64,
     next_request: u64,
-    instances: BTreeMap<String, Listed>,
+    instances: BTreeMap<String, ListedInstance>,
     pending_pulls: Map<u64, (usize, u64, u64)>,
     call_sessions: Map<CallId, u64>,
     meters: Meters,
@@ -353,17 +353,17 @@
             warm,
         };
         self.requests.insert(id, request);
-        let arrival = Arrival {
+        let incoming = IncomingRequest {
             id,
             key: hash_api_key(&api_key),
-            wish: Wish::Model(model.to_owned()),
+            target: RequestTarget::Model(model.to_owned()),
             deadline_ms,
-            once: idempotency_key,
-            content: idempotency_key.unwrap_or(0),
+            idempotency_key,
+            body_hash: idempotency_key.unwrap_or(0),
             prefix: 0,
         };
         let incarnation = self.entries[entry].incarnation;
-        self.schedule(0, SimEvent::ToEntry(entry, incarnation, Event::Arrive(arrival)));
+        self.schedule(0, SimEvent::ToEntry(entry, incarnation, Event::Request(incoming)));
         Some(id)
     }
 
@@ -433,7 +433,7 @@
                     self.watched_commits.0 += 1;
                     self.watched_commits.1 += u64::from(outcome == Outcome::Conflict);
                 }
-                let event = Event::Committed(id, outcome);
+                let event = Event::TxnFinished(id, outcome);
                 self.schedule(delay, SimEvent::ToEntry(from, incarnation, event));
             }
             SimEvent::EntryRead { from, incarnation, keys } => {
@@ -451,7 +451,7 @@
             SimEvent::SideCommit { from, incarnation, id, txn } => {
                 self.operations.side_commits += 1;
                 let (delay, outcome) = self.commit(txn);
-                let event = SideEvent::Committed(id, outcome);
+                let event = SideEvent::TxnFinished(id, outcome);
                 self.schedule(delay, SimEvent::ToSide(from, incarnation, event));
             }
             SimEvent::SideRead { from, incarnation, id, keys } => {
@@ -549,7 +549,7 @@
         let started = Instant::now();
         node.reducer.step(Millis(self.now - node.started_at), event, &mut effects);
         self.meters.entry_nanos += started.elapsed().as_nanos() as u64;
-        let version = node.reducer.version();
+        let version = node.reducer.config_version();
         if version < node.config_version {
             let violation = format!(
                 "the configuration of {} went back from version {} to {version}",
--- a/crates/lab/src/world/table.rs
+++ b/crates/lab/src/simulation/table.rs
@@ -20,7 +20,7 @@
         let version = old.map_or(0, |head| head.version) + 1;
         let (digest, object) = (digest(&config), version.to_string());
         let head = HeadRow { version, digest, object };
-        let delta = DeltaRow { version, whole: true, ..DeltaRow::default() };
+        let delta = DeltaRow { version, content_omitted: true, ..DeltaRow::default() };
         let old_delta = self.table.read(&[delta_key(version)]).unwrap_or_default();
         let mut txn = Txn::default();
         txn.put(HEAD, head_version, Some(head.encode_to_vec()));
@@ -43,14 +43,14 @@
     pub(super) fn read_changes(&mut self, from: usize, incarnation: u64, id: u64, since: u64) {
         self.operations.polls += 1;
         let page = (!self.faults.table_down).then(|| {
-            let changes = self.table.changes(FEED, since, PAGE).unwrap_or_default();
+            let changes = self.table.changes(FEED, since, PAGE_ROWS).unwrap_or_default();
             Page { rows: changes.rows, sequence: changes.sequence, age_ms: 0 }
         });
         if let Some(page) = &page {
             self.count_frame(from, "", &rows_frame(&page.rows));
         }
         let delay = self.table_delay();
-        self.schedule(delay, SimEvent::ToEntry(from, incarnation, Event::Fed(id, page)));
+        self.schedule(delay, SimEvent::ToEntry(from, incarnation, Event::FeedAnswer(id, page)));
     }
 
     /// Executes a transaction, subject to faults. Returns the delay until the sender gets the outcome,
--- a/crates/runtime/src/apply.rs
+++ b/crates/runtime/src/apply.rs
@@ -17,7 +17,7 @@
 
 /// The outcome of a submitted configuration that is not an error.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// It is the active version.
     Accepted {
         /// The new version.
@@ -31,12 +31,12 @@
 }
 
 /// The reason why a configuration was not accepted. Nothing has changed, except possibly for
-/// [`ApplyError::Unknown`].
+/// [`ApplyError::UnknownOutcome`].
 #[derive(Debug, Error)]
 pub enum ApplyError {
     /// The configuration has errors.
     #[error("{0}")]
-    Text(#[from] ConfigErrors),
+    InvalidConfig(#[from] ConfigErrors),
     /// The configuration does not state its base version.
     #[error(
         "the configuration names no base version: its first line must be `; version N`, as `show` prints it, or give --base N; version {current} is active"
@@ -47,30 +47,30 @@
     },
     /// Another configuration was accepted first.
     #[error(
-        "the configuration is based on version {base}, but version {winner} is active; nothing was changed"
+        "the configuration is based on version {base}, but version {current} is active; nothing was changed"
     )]
-    Lost {
+    Conflict {
         /// The base version of the configuration.
         base: u64,
         /// The active version.
-        winner: u64,
+        current: u64,
     },
     /// The platform store does not answer.
     #[error("the platform store does not answer; nothing was changed: {0}")]
     Platform(#[from] PlatformError),
     /// The platform store did not confirm the commit, and its outcome cannot be determined.
     #[error("the platform store did not confirm the commit; run `citronrill show` once it answers")]
-    Unknown,
+    UnknownOutcome,
     /// The object named in the head row is missing.
     #[error("the configuration of version {0} is not in the object store")]
-    Missing(u64),
+    MissingObject(u64),
 }
 
 /// Reads the head row and its row version. The head has version 0 if there is no configuration.
 ///
 /// # Errors
 /// The platform table does not answer.
-pub fn head(table: &dyn Table) -> Result<(HeadRow, u64), PlatformError> {
+pub fn config_head(table: &dyn Table) -> Result<(HeadRow, u64), PlatformError> {
     let rows = table.read(&[HEAD.to_owned()])?;
     let row = rows.into_iter().next().unwrap_or_default();
     Ok((decode(&row.body).unwrap_or_default(), row.version))
@@ -80,16 +80,16 @@
 ///
 /// # Errors
 /// The platform store does not answer, or has lost the configuration.
-pub fn current_text(
+pub fn current_config(
     table: &dyn Table,
     objects: &dyn ObjectStore,
 ) -> Result<(HeadRow, String), ApplyError> {
-    let (head, _) = head(table)?;
+    let (head, _) = config_head(table)?;
     if head.version == 0 {
         return Ok((head, String::new()));
     }
-    let body = objects.get(&head.object)?.ok_or(ApplyError::Missing(head.version))?;
-    let config = String::from_utf8(body).map_err(|_| ApplyError::Missing(head.version))?;
+    let body = objects.get(&head.object)?.ok_or(ApplyError::MissingObject(head.version))?;
+    let config = String::from_utf8(body).map_err(|_| ApplyError::MissingObject(head.version))?;
     Ok((head, config))
 }
 
@@ -109,31 +109,31 @@
 /// # Errors
 /// The configuration is invalid, another one was accepted first, or the platform store does not
 /// answer.
-pub fn apply_text(
+pub fn apply_config(
     table: &dyn Table,
     objects: &dyn ObjectStore,
     file: &str,
     config: &str,
     base: Option<u64>,
-) -> Result<Applied, ApplyError> {
+) -> Result<ApplyOutcome, ApplyError> {
     Catalogue::compile(file, config, 0, &mut Registry::default())?;
-    let (head_row, head_version) = head(table)?;
-    let winner = head_row.version;
+    let (head_row, head_version) = config_head(table)?;
+    let current = head_row.version;
     let base = base.or_else(|| base_version(config));
-    let base = base.or((winner == 0).then_some(0)).ok_or(ApplyError::NoBase { current: winner })?;
+    let base = base.or((current == 0).then_some(0)).ok_or(ApplyError::NoBase { current })?;
     let digest = digest(config);
-    if base != winner {
+    if base != current {
         // This configuration was already accepted, possibly without confirmation: not a conflict.
-        if head_row.digest == digest && winner == base + 1 {
-            return Ok(Applied::Accepted { version: winner });
+        if head_row.digest == digest && current == base + 1 {
+            return Ok(ApplyOutcome::Accepted { version: current });
         }
-        return Err(ApplyError::Lost { base, winner });
+        return Err(ApplyError::Conflict { base, current });
     }
-    if winner > 0 && head_row.digest == digest {
-        return Ok(Applied::Unchanged { version: winner });
+    if current > 0 && head_row.digest == digest {
+        return Ok(ApplyOutcome::Unchanged { version: current });
     }
-    let (_, old) = current_text(table, objects)?;
-    let version = winner + 1;
+    let (_, old) = current_config(table, objects)?;
+    let version = current + 1;
     let object = format!("config/{version}-{digest}");
     objects.put(&object, config.as_bytes())?;
     let next = HeadRow { version, digest: digest.clone(), object };
@@ -149,18 +149,12 @@
     head_version: u64,
 ) -> Result<Txn, PlatformError> {
     let delta = Delta::between(old, new);
-    let omit_content = next.version == 1 || delta.size() > DELTA_LIMIT;
-    let row = if omit_content {
-        DeltaRow { version: next.version, whole: omit_content, ..DeltaRow::default() }
+    let content_omitted = next.version == 1 || delta.size() > DELTA_LIMIT;
+    let row = if content_omitted {
+        DeltaRow { version: next.version, content_omitted, ..DeltaRow::default() }
     } else {
         let (changed, removed) = (delta.changed, delta.removed);
-        DeltaRow {
-            version: next.version,
-            digest: delta.digest,
-            changed,
-            removed,
-            whole: omit_content,
-        }
+        DeltaRow { version: next.version, digest: delta.digest, changed, removed, content_omitted }
     };
     let key = delta_key(next.version);
     let delta_rows = table.read(std::slice::from_ref(&key))?;
@@ -172,23 +166,28 @@
 }
 
 /// Commits the transaction. If the outcome is not known, reads back which configuration is active.
-fn commit(table: &dyn Table, txn: &Txn, next: &HeadRow, base: u64) -> Result<Applied, ApplyError> {
+fn commit(
+    table: &dyn Table,
+    txn: &Txn,
+    next: &HeadRow,
+    base: u64,
+) -> Result<ApplyOutcome, ApplyError> {
     let version = next.version;
     let mut outcome = table.commit(txn);
     for _ in 0..COMMIT_RETRIES {
         match outcome {
-            Outcome::Committed(_) => return Ok(Applied::Accepted { version }),
+            Outcome::Committed(_) => return Ok(ApplyOutcome::Accepted { version }),
             Outcome::Conflict => break,
             // Repeating the same transaction is safe: if it took effect, the repeat conflicts.
             Outcome::Unknown => outcome = table.commit(txn),
         }
     }
-    let Ok((found, _)) = head(table) else { return Err(ApplyError::Unknown) };
+    let Ok((found, _)) = config_head(table) else { return Err(ApplyError::UnknownOutcome) };
     if found.version == version && found.digest == next.digest {
-        return Ok(Applied::Accepted { version });
+        return Ok(ApplyOutcome::Accepted { version });
     }
     match outcome {
-        Outcome::Conflict => Err(ApplyError::Lost { base, winner: found.version }),
-        _ => Err(ApplyError::Unknown),
+        Outcome::Conflict => Err(ApplyError::Conflict { base, current: found.version }),
+        _ => Err(ApplyError::UnknownOutcome),
     }
 }
--- a/crates/runtime/src/connect.rs
+++ b/crates/runtime/src/connect.rs
@@ -225,7 +225,7 @@
 ///
 /// # Errors
 /// The process does not answer or has another secret.
-pub fn ask_dump(address: SocketAddr, secret: &str) -> Result<String, WireError> {
+pub fn fetch_dump(address: SocketAddr, secret: &str) -> Result<String, WireError> {
     let identity = Identity { name: "operator".to_owned(), session: 0, role: PeerRole::Operator };
     let context = LinkContext {
         secret: secret.into(),
@@ -244,8 +244,8 @@
 /// Requests a process's state dump, as a parsed JSON value.
 ///
 /// # Errors
-/// As [`ask_dump`]. Text that is not valid JSON is reported as an unexpected frame.
-pub fn dump_json(address: SocketAddr, secret: &str) -> Result<serde_json::Value, WireError> {
-    let text = ask_dump(address, secret)?;
+/// As [`fetch_dump`]. Text that is not valid JSON is reported as an unexpected frame.
+pub fn fetch_dump_json(address: SocketAddr, secret: &str) -> Result<serde_json::Value, WireError> {
+    let text = fetch_dump(address, secret)?;
     serde_json::from_str(&text).map_err(|_| WireError::UnexpectedFrame)
 }
--- a/crates/runtime/src/entry/control.rs
+++ b/crates/runtime/src/entry/control.rs
@@ -19,14 +19,14 @@
     Input, Shared,
     dump::dump,
     exchange::{self, Attempt},
-    intake::PendingRequest,
     peers::{DEMAND_ACKED, UNSOLICITED, class_number, refusal_number, rows_frame},
+    requests::PendingRequest,
 };
 use crate::{
     clock::minute_of_day,
-    front,
     json::model_list,
     link::{CallMessage, Link},
+    response,
 };
 
 /// Interval between two ticks of the reducer.
@@ -112,8 +112,8 @@
                 link.send(wire::DumpReply { json }.into());
             }
             Input::ConfigRequest(link, version) => {
-                let config =
-                    (self.entry.version() == version).then(|| self.entry.text().to_owned());
+                let config = (self.entry.config_version() == version)
+                    .then(|| self.entry.config_source().to_owned());
                 link.send(wire::ConfigReply { version, config }.into());
             }
             Input::FeedPull(link, id, since) => {
@@ -121,7 +121,7 @@
                 self.pulls.retain(|_, (link, _)| !link.is_dead());
                 self.pulls.insert(self.next_pull, (link, id));
                 let pull = self.next_pull;
-                self.step(Event::Pull { pull, since }, effects);
+                self.step(Event::FeedPull { pull, since }, effects);
             }
             Input::Stop => {}
         }
@@ -132,12 +132,12 @@
         self.shared.ready.store(self.entry.ready(), Ordering::Release);
         let mut gauges = self.shared.gauges.lock().unwrap_or_else(PoisonError::into_inner);
         *gauges = vec![
-            ("config_version", self.entry.version()),
+            ("config_version", self.entry.config_version()),
             ("config_confirmed", u64::from(self.entry.confirmed())),
             ("store_up", u64::from(self.entry.store_is_up())),
             ("requests_open", self.entry.open_requests() as u64),
             ("requests_waiting", self.entry.waiting_requests() as u64),
-            ("home_models", self.entry.home_models() as u64),
+            ("home_models", self.entry.coordinated_models() as u64),
             ("feed_sequence", self.entry.feed().sequence()),
             ("control_busy_ms", self.busy.as_millis() as u64),
         ];
@@ -153,7 +153,7 @@
                 }
             }
             Effect::Refuse(id, refusal) => {
-                let kind = refusal.kind.word();
+                let kind = refusal.kind.as_str();
                 self.shared.meter.add("refusals", kind, 1);
                 let pending = self.shared.pending().remove(&id);
                 match pending {
@@ -178,7 +178,7 @@
                     });
                 }
             }
-            Effect::Models(id, models) => {
+            Effect::ListModels(id, models) => {
                 let Some(pending) = self.shared.pending().remove(&id) else { return };
                 match models {
                     Err(refusal) => self.refuse(pending, refusal),
@@ -193,7 +193,7 @@
             Effect::Commit(id, txn) => {
                 self.shared.meter.add("table_commits", "", 1);
                 let table = self.table.clone();
-                self.query_platform(move || Some(Event::Committed(id, table.commit(&txn))));
+                self.query_platform(move || Some(Event::TxnFinished(id, table.commit(&txn))));
             }
             Effect::Read(keys) => {
                 self.shared.meter.add("table_reads", "", 1);
@@ -208,7 +208,7 @@
                     Some(Event::ClaimRead(id, row))
                 });
             }
-            Effect::FetchText(head) => self.fetch_config(head),
+            Effect::FetchConfig(head) => self.fetch_config(head),
             Effect::Demand { to, demand } => {
                 let frame = wire::Demand {
                     model: demand.model,
@@ -219,21 +219,21 @@
                 };
                 self.send_frame(to, frame.into());
             }
-            Effect::Heard { to, model } => {
+            Effect::AckDemand { to, model } => {
                 self.send_frame(to, wire::DemandReply { model, kind: DEMAND_ACKED }.into());
             }
-            Effect::Verdict { to, model, kind } => {
+            Effect::RefuseLoad { to, model, kind } => {
                 let kind = refusal_number(kind);
                 self.send_frame(to, wire::DemandReply { model, kind }.into());
             }
-            Effect::Poke { address, from, .. } => {
+            Effect::NotifySide { address, from, .. } => {
                 self.send_frame(address, wire::RowChanged { reply_to: from }.into());
             }
             Effect::Announce { to, row } => {
                 let page = Page { rows: vec![row], ..Page::default() };
                 self.send_frame(to, rows_frame(UNSOLICITED, page).into());
             }
-            Effect::Configured(version) => {
+            Effect::ConfigActivated(version) => {
                 self.shared.meter.add("configurations", "", 1);
                 log::debug!("event=configured version={version}");
             }
@@ -251,7 +251,7 @@
 
     fn refuse(&self, pending: PendingRequest, refusal: Refusal) {
         self.shared.senders.run(move || {
-            let _ = front::refuse(pending.request, &refusal);
+            let _ = response::refuse(pending.request, &refusal);
         });
     }
 
@@ -275,28 +275,28 @@
 
     fn perform_feed(&mut self, effect: FeedEffect) {
         match effect {
-            FeedEffect::Ask { id, source: Source::Table, since } => {
+            FeedEffect::Pull { id, source: Source::Table, since } => {
                 self.shared.meter.add("table_polls", "", 1);
                 let table = self.table.clone();
                 self.query_platform(move || {
-                    let changes = table.changes(FEED, since, citronrill_decide::PAGE).ok();
+                    let changes = table.changes(FEED, since, citronrill_decide::PAGE_ROWS).ok();
                     let page = changes.map(|changes| Page {
                         rows: changes.rows,
                         sequence: changes.sequence,
                         age_ms: 0,
                     });
-                    Some(Event::Fed(id, page))
+                    Some(Event::FeedAnswer(id, page))
                 });
             }
-            FeedEffect::Ask { id, source: Source::Peer(address), since } => {
+            FeedEffect::Pull { id, source: Source::Peer(address), since } => {
                 let shared = self.shared.clone();
                 self.shared.senders.run(move || {
                     if !shared.links.send(&address, wire::FeedPull { id, since }.into()) {
-                        shared.event(Event::Fed(id, None));
+                        shared.event(Event::FeedAnswer(id, None));
                     }
                 });
             }
-            FeedEffect::Answer { pull, page } => {
+            FeedEffect::AnswerPull { pull, page } => {
                 if let Some((link, id)) = self.pulls.remove(&pull) {
                     self.shared.senders.run(move || {
                         let _ = link.send(rows_frame(id, page).into());
@@ -315,8 +315,8 @@
         let shared = self.shared.clone();
         self.shared.platform.run(move || {
             let stored = objects.get(&head.object).ok().flatten();
-            if let Some(text) = stored.and_then(|bytes| String::from_utf8(bytes).ok()) {
-                return shared.event(Event::Text { version: head.version, text });
+            if let Some(source) = stored.and_then(|bytes| String::from_utf8(bytes).ok()) {
+                return shared.event(Event::Config { version: head.version, source });
             }
             for address in peers {
                 shared.links.send(&address, wire::ConfigRequest { version: head.version }.into());
@@ -328,7 +328,7 @@
     fn stop(&self) {
         let remaining = std::mem::take(&mut *self.shared.pending());
         for pending in remaining.into_values() {
-            let _ = front::refuse(pending.request, &Refusal::not_run(RefusalKind::Draining));
+            let _ = response::refuse(pending.request, &Refusal::not_run(RefusalKind::Draining));
         }
         self.shared.links.close();
         log::info!("event=stopped");
--- a/crates/runtime/src/entry/dump.rs
+++ b/crates/runtime/src/entry/dump.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use citronrill_decide::{Entry, Source, rows::phase_word};
+use citronrill_decide::{Entry, Source, rows::phase_name};
 use serde_json::{Value, json};
 
 use super::Shared;
@@ -25,7 +25,7 @@
     };
     json!({
         "role": "entry",
-        "version": entry.version(),
+        "version": entry.config_version(),
         "confirmed": entry.confirmed(),
         "ready": entry.ready(),
         "gauges": Value::Object(gauges.collect()),
@@ -43,7 +43,7 @@
     let mut all = serde_json::Map::new();
     for (key, row) in entry.view().endpoints() {
         let replicas = row.replicas.iter().map(|replica| {
-            json!({ "model": replica.model, "phase": phase_word(replica.phase()),
+            json!({ "model": replica.model, "phase": phase_name(replica.phase()),
                 "memory_mb": replica.memory_mb, "order": replica.order })
         });
         let name = entry.view().endpoint_name(key).to_owned();
--- a/crates/runtime/src/entry/exchange.rs
+++ b/crates/runtime/src/entry/exchange.rs
@@ -11,19 +11,19 @@
     ANSWER_LIMIT, Answer as StoredAnswer, CancelAnswer, Decline, Effect, Event, Ran, Refusal,
     RefusalKind, RequestId,
 };
-use citronrill_http::{Answer, Header, respond};
+use citronrill_http::{Header, ResponseWriter, respond};
 use citronrill_wire::{self as wire, Kind};
 use crossbeam::channel::{Receiver, Sender, bounded};
 
 use super::{
     Shared,
-    intake::{PendingRequest, RequestBody},
     peers::class_number,
+    requests::{PendingRequest, RequestBody},
 };
 use crate::{
-    front,
     link::{CallMessage, Link},
     pool::spawn,
+    response,
     side::WINDOW,
 };
 
@@ -125,7 +125,7 @@
     headers: Vec<Header>,
     buffer: Vec<u8>,
     replay_body: Option<Vec<u8>>,
-    response: Option<Answer>,
+    response: Option<ResponseWriter>,
     resumes: usize,
     body_sent: bool,
     body_acked: u64,
@@ -156,7 +156,7 @@
         if let Some(pending) = pending {
             fallback.pending().insert(id, pending);
         }
-        fallback.event(Event::Unsent(id, call));
+        fallback.event(Event::NotSent(id, call));
     }
 }
 
@@ -168,7 +168,7 @@
     let ready = link.ok().and_then(|link| Some((remote_now(&link)?, link)));
     let Some((clock, link)) = ready else {
         shared.pending().insert(id, pending);
-        return shared.event(Event::Unsent(id, call));
+        return shared.event(Event::NotSent(id, call));
     };
     // The time for connecting counts against the request's deadline.
     let slack = attempt.slack_ms.saturating_sub(started_at.elapsed().as_millis() as u64);
@@ -232,10 +232,10 @@
         match outcome {
             Outcome::Complete { load } => self.finish(load),
             Outcome::Declined(reason, load) => {
-                self.shared.meter.add("declines", reason.word(), 1);
+                self.shared.meter.add("declines", reason.as_str(), 1);
                 if self.body_consumed() {
                     self.return_request();
-                    return self.shared.event(Event::Spent(id, call, Ran::No));
+                    return self.shared.event(Event::BodyConsumed(id, call, Ran::No));
                 }
                 self.return_request();
                 self.shared.event(Event::Declined { id, call, why: reason, load });
@@ -248,7 +248,7 @@
                 self.shared.meter.add("callers_gone", "", 1);
                 self.cancel();
                 self.unregister();
-                self.shared.event(Event::CallerGone(id));
+                self.shared.event(Event::CallerDisconnected(id));
             }
             Outcome::Refused(refusal) => {
                 self.cancel();
@@ -279,7 +279,7 @@
             class: self.attempt.class,
             verb: pending.verb.clone(),
             path: pending.path.clone(),
-            headers: front::to_wire(pending.headers.clone()),
+            headers: response::to_wire(pending.headers.clone()),
             body,
             length,
         };
@@ -347,13 +347,13 @@
                 None
             }
             Kind::Declined(declined) => {
-                let reason = Decline::from_number(declined.reason).unwrap_or(Decline::Busy);
+                let reason = Decline::from_code(declined.reason).unwrap_or(Decline::Busy);
                 Some(Outcome::Declined(reason, declined.active_calls))
             }
             Kind::ResponseHead(head) if self.next_part == 0 => {
                 self.next_part = 1;
                 self.status = head.status as u16;
-                self.headers = front::from_wire(head.headers);
+                self.headers = response::from_wire(head.headers);
                 None
             }
             Kind::ResponsePart(part) if part.sequence == self.next_part => {
@@ -385,7 +385,7 @@
         if self.resumes > 0 && answer != CancelAnswer::NotRun {
             return Some(Outcome::Lost);
         }
-        self.shared.event(Event::Cancelled(self.attempt.id, self.attempt.call, answer));
+        self.shared.event(Event::CancelAnswered(self.attempt.id, self.attempt.call, answer));
         None
     }
 
@@ -469,7 +469,7 @@
         if self.response.is_none() && self.begin_response().is_err() {
             return Some(Outcome::CallerDisconnected);
         }
-        let written = self.response.as_mut().map(|response| response.part(data));
+        let written = self.response.as_mut().map(|response| response.write_part(data));
         matches!(written, Some(Err(_))).then_some(Outcome::CallerDisconnected)
     }
 
@@ -477,10 +477,10 @@
     fn begin_response(&mut self) -> std::io::Result<()> {
         let Some(pending) = self.pending.take() else { return Ok(()) };
         self.shared.meter.record_time("first_part", pending.arrived.elapsed().as_micros() as u64);
-        self.shared.event(Event::Began(self.attempt.id, self.attempt.call));
-        let mut response = Answer::begin(pending.request, self.status, &self.headers)?;
+        self.shared.event(Event::ResponseStarted(self.attempt.id, self.attempt.call));
+        let mut response = ResponseWriter::begin(pending.request, self.status, &self.headers)?;
         if !self.buffer.is_empty() {
-            response.part(&std::mem::take(&mut self.buffer))?;
+            response.write_part(&std::mem::take(&mut self.buffer))?;
         }
         self.response = Some(response);
         Ok(())
@@ -494,7 +494,7 @@
             self.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-type"));
         let content_type = content_type.map_or(String::new(), |header| header.value.clone());
         let written = match (self.response.take(), self.pending.take()) {
-            (Some(response), _) => response.end(),
+            (Some(response), _) => response.finish(),
             (None, Some(pending)) => {
                 self.shared
                     .meter
@@ -510,7 +510,7 @@
             content_type,
             body: (body.len() <= ANSWER_LIMIT).then_some(body),
         });
-        self.shared.event(Event::Ended { id, call, load, answer });
+        self.shared.event(Event::ResponseFinished { id, call, load, answer });
     }
 
     /// Reports to the control thread that the call's outcome is unknown. If the caller has received
@@ -520,15 +520,15 @@
         let (id, call) = (self.attempt.id, self.attempt.call);
         if let Some(response) = self.response.take() {
             self.unregister();
-            let kind = RefusalKind::Lost;
-            front::abort(response, &Refusal { kind, ran: Ran::Yes, retry_ms: None });
+            let kind = RefusalKind::ConnectionLost;
+            response::abort(response, &Refusal { kind, ran: Ran::Yes, retry_ms: None });
         } else if self.body_consumed() {
             self.return_request();
-            return self.shared.event(Event::Spent(id, call, Ran::Unknown));
+            return self.shared.event(Event::BodyConsumed(id, call, Ran::Unknown));
         } else {
             self.return_request();
         }
-        self.shared.event(Event::Lost(id, call));
+        self.shared.event(Event::ConnectionLost(id, call));
     }
 
     /// Returns whether a part of a body that can be read only once has been read.
@@ -539,8 +539,8 @@
 
     fn refuse(mut self, refusal: &Refusal) {
         match (self.response.take(), self.pending.take()) {
-            (Some(response), _) => front::abort(response, refusal),
-            (None, Some(pending)) => drop(front::refuse(pending.request, refusal)),
+            (Some(response), _) => response::abort(response, refusal),
+            (None, Some(pending)) => drop(response::refuse(pending.request, refusal)),
             (None, None) => {}
         }
     }
--- a/crates/runtime/src/entry/mod.rs
+++ b/crates/runtime/src/entry/mod.rs
@@ -3,8 +3,8 @@
 mod control;
 mod dump;
 mod exchange;
-mod intake;
 mod peers;
+mod requests;
 
 use std::{
     collections::HashMap,
@@ -25,7 +25,7 @@
 use tiny_http::Server;
 
 pub(crate) use self::peers::{UNSOLICITED, class_from_number, rows_frame};
-use self::{control::Control, exchange::ExchangeHandle, intake::PendingRequest, peers::PeerSink};
+use self::{control::Control, exchange::ExchangeHandle, peers::PeerSink, requests::PendingRequest};
 use crate::{
     clock::Clock,
     connect::{Links, PeerListener, listen},
@@ -171,7 +171,7 @@
         watch_instances(instances, input.clone(), stop.clone())?;
         for index in 0..INTAKE_THREADS {
             let (server, shared) = (server.clone(), shared.clone());
-            spawn(&format!("intake-{index}"), move || intake::run(&server, &shared))?;
+            spawn(&format!("intake-{index}"), move || requests::run(&server, &shared))?;
         }
         let stop_after = Duration::from_secs(common.stop_s);
         let control = Some(control);
--- a/crates/runtime/src/entry/peers.rs
+++ b/crates/runtime/src/entry/peers.rs
@@ -4,7 +4,7 @@
 
 use citronrill_base::Row;
 use citronrill_config::Class;
-use citronrill_decide::{Demand, Event, Listed, Page, Peer, RefusalKind};
+use citronrill_decide::{Demand, Event, ListedInstance, Page, Peer, RefusalKind};
 use citronrill_platform::{Instance, Role};
 use citronrill_wire::{self as wire, Kind, PeerRole};
 use crossbeam::channel::Sender;
@@ -34,11 +34,11 @@
                 class: class_from_number(demand.class),
             })),
             Kind::DemandReply(reply) if from_entry && reply.kind == DEMAND_ACKED => {
-                Input::Event(Event::Heard(reply.model))
+                Input::Event(Event::DemandAcked(reply.model))
             }
             Kind::DemandReply(reply) if from_entry => {
                 let kind = refusal_kind(reply.kind)?;
-                Input::Event(Event::Verdict { model: reply.model, kind })
+                Input::Event(Event::LoadRefused { model: reply.model, kind })
             }
             Kind::FeedPull(pull) if from_entry => {
                 Input::FeedPull(link.clone(), pull.id, pull.since)
@@ -46,17 +46,17 @@
             Kind::FeedRows(rows)
                 if rows.id == UNSOLICITED && link.peer.role != PeerRole::Operator =>
             {
-                Input::Event(Event::Told(to_page(rows).rows))
+                Input::Event(Event::Announced(to_page(rows).rows))
             }
             Kind::FeedRows(rows) if from_entry => {
                 let id = rows.id;
-                Input::Event(Event::Fed(id, Some(to_page(rows))))
+                Input::Event(Event::FeedAnswer(id, Some(to_page(rows))))
             }
             Kind::ConfigRequest(pull) if from_entry => {
                 Input::ConfigRequest(link.clone(), pull.version)
             }
             Kind::ConfigReply(reply) if from_entry => {
-                Input::Event(Event::Text { version: reply.version, text: reply.config? })
+                Input::Event(Event::Config { version: reply.version, source: reply.config? })
             }
             Kind::Dump(_) => Input::Dump(link.clone()),
             _ => return None,
@@ -123,7 +123,7 @@
     match number {
         0 => Some(RefusalKind::ShareUsed),
         1 => Some(RefusalKind::PoolFull),
-        2 => Some(RefusalKind::Removed),
+        2 => Some(RefusalKind::NoLongerConfigured),
         _ => None,
     }
 }
@@ -150,8 +150,8 @@
     }
 }
 
-pub(super) fn to_listed(instance: Instance) -> Listed {
-    Listed {
+pub(super) fn to_listed(instance: Instance) -> ListedInstance {
+    ListedInstance {
         peer: Peer { name: instance.name, address: instance.address, zone: instance.zone },
         entry: instance.role == Role::Entry,
         leaving: instance.leaving,
--- a/crates/runtime/src/entry/intake.rs
+++ b/crates/runtime/src/entry/requests.rs
@@ -8,7 +8,7 @@
 
 use citronrill_base::hash_bytes;
 use citronrill_config::hash_api_key;
-use citronrill_decide::{Arrival, Event, Ran, RequestId, Wish};
+use citronrill_decide::{Event, IncomingRequest, Ran, RequestId, RequestTarget};
 use citronrill_http::{Header, is_forwarded, respond};
 use tiny_http::{Method, Request, Server};
 
@@ -98,7 +98,7 @@
     let Some(key) = bearer(&request) else { return unauthorised(request) };
     let pending = pending_request(request, RequestBody::Unread(None), String::new(), false);
     let id = register(shared, pending);
-    shared.event(Event::List { id, key: hash_api_key(&key) });
+    shared.event(Event::ListModels { id, key: hash_api_key(&key) });
 }
 
 fn unauthorised(request: Request) {
@@ -121,13 +121,14 @@
         let detail = "expected a JSON object with `model`";
         return respond_error(request, &RequestError::new(400, "malformed-json", detail));
     };
-    let arrival = Arrival {
+    let incoming = IncomingRequest {
         id: RequestId(0),
         key: hash_api_key(&key),
-        wish: Wish::Model(parsed.model.clone()),
+        target: RequestTarget::Model(parsed.model.clone()),
         deadline_ms: header_number(&request, "X-Deadline-Ms"),
-        once: header_value(&request, "Idempotency-Key").map(|key| hash_bytes(key.as_bytes())),
-        content: hash_bytes(&body),
+        idempotency_key: header_value(&request, "Idempotency-Key")
+            .map(|key| hash_bytes(key.as_bytes())),
+        body_hash: hash_bytes(&body),
         prefix: parsed.prefix_hash(),
     };
     let path = request.url().to_owned();
@@ -135,7 +136,7 @@
     submit(
         shared,
         pending_request(request, RequestBody::Complete(Arc::new(body)), path, event_stream),
-        arrival,
+        incoming,
     );
 }
 
@@ -153,27 +154,28 @@
         None if !chunked => RequestBody::Complete(Arc::default()),
         length => RequestBody::Unread(length),
     };
-    let arrival = Arrival {
+    let incoming = IncomingRequest {
         id: RequestId(0),
         key: hash_api_key(&key),
-        wish: Wish::Plain {
+        target: RequestTarget::Plain {
             service,
             verb: request.method().to_string(),
             path: path.split('?').next().unwrap_or_default().to_owned(),
         },
         deadline_ms: header_number(&request, "X-Deadline-Ms"),
-        once: header_value(&request, "Idempotency-Key").map(|key| hash_bytes(key.as_bytes())),
+        idempotency_key: header_value(&request, "Idempotency-Key")
+            .map(|key| hash_bytes(key.as_bytes())),
         // The body has not been read yet, so its length is used instead of its hash.
-        content: length.unwrap_or(0),
+        body_hash: length.unwrap_or(0),
         prefix: 0,
     };
-    submit(shared, pending_request(request, body, path, false), arrival);
+    submit(shared, pending_request(request, body, path, false), incoming);
 }
 
-fn submit(shared: &Arc<Shared>, pending: PendingRequest, arrival: Arrival) {
+fn submit(shared: &Arc<Shared>, pending: PendingRequest, incoming: IncomingRequest) {
     shared.meter.add("requests", "", 1);
     let id = register(shared, pending);
-    shared.event(Event::Arrive(Arrival { id, ..arrival }));
+    shared.event(Event::Request(IncomingRequest { id, ..incoming }));
 }
 
 fn pending_request(
--- a/crates/runtime/src/json.rs
+++ b/crates/runtime/src/json.rs
@@ -59,7 +59,7 @@
 
 /// Returns the problem document of a refusal.
 pub(crate) fn refusal_problem(refusal: &Refusal) -> String {
-    let code = refusal.kind.word();
+    let code = refusal.kind.as_str();
     let detail = match refusal.ran {
         Ran::No => format!("{code}: the call did not run"),
         Ran::Unknown => format!("{code}: it is not known whether the call ran"),
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -9,17 +9,17 @@
 mod connect;
 mod entry;
 mod error;
-mod front;
 mod json;
 mod link;
 mod meter;
 mod pool;
+mod response;
 mod side;
 
 pub use crate::{
-    apply::{Applied, ApplyError, apply_text, base_version, current_text, head},
+    apply::{ApplyError, ApplyOutcome, apply_config, base_version, config_head, current_config},
     clock::Clock,
-    connect::{ask_dump, dump_json},
+    connect::{fetch_dump, fetch_dump_json},
     entry::{EntryOptions, EntryProcess},
     error::StartError,
     side::{SideOptions, SideProcess},
--- a/crates/runtime/src/front.rs
+++ b/crates/runtime/src/response.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use citronrill_decide::Refusal;
-use citronrill_http::{Answer, Header, respond};
+use citronrill_http::{Header, ResponseWriter, respond};
 use tiny_http::Request;
 
 use crate::json::refusal_problem;
@@ -20,10 +20,10 @@
 
 /// Aborts a response of which the caller has received a part: writes an error event and no
 /// terminating chunk.
-pub(crate) fn abort(mut response: Answer, refusal: &Refusal) {
+pub(crate) fn abort(mut response: ResponseWriter, refusal: &Refusal) {
     let event = format!("event: error\ndata: {}\n\n", refusal_problem(refusal));
-    let _ = response.part(event.as_bytes());
-    response.cut();
+    let _ = response.write_part(event.as_bytes());
+    response.abort();
 }
 
 /// Converts headers to their form in messages between processes.
--- a/crates/runtime/src/side/calls.rs
+++ b/crates/runtime/src/side/calls.rs
@@ -21,7 +21,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 
 use super::WINDOW;
-use crate::{clock::Clock, front, link::Link, meter::Meter, pool::spawn};
+use crate::{clock::Clock, link::Link, meter::Meter, pool::spawn, response};
 
 /// Bytes of a response per part.
 const PART_BYTES: usize = 16 << 10;
@@ -216,7 +216,7 @@
 
     pub(super) fn decline(&self, id: CallId, reason: Decline, active_calls: u32) {
         if let Some(exchange) = self.by_id().remove(&id) {
-            let reason = reason.number();
+            let reason = reason.code();
             exchange
                 .lock()
                 .link
@@ -307,7 +307,7 @@
     /// Declines the call. The endpoint has refused the connection, so it has not received the call.
     fn decline(&self) {
         let mut state = self.exchange.lock();
-        let reason = Decline::EndpointDown.number();
+        let reason = Decline::EndpointDown.code();
         let (number, active_calls) = (self.exchange.number, self.active_calls);
         let frame: Frame = wire::Declined { number, reason, active_calls }.into();
         state.next_part += 1;
@@ -352,7 +352,7 @@
         let headers = headers.iter().filter(|(name, _)| is_forwarded(name.as_str()));
         let headers = headers
             .filter_map(|(name, value)| Some(Header::new(name.as_str(), value.to_str().ok()?)));
-        let headers = front::to_wire(headers);
+        let headers = response::to_wire(headers);
         let status = u32::from(status.as_u16());
         if !self.exchange.push(|_| wire::ResponseHead { number, status, headers }.into()) {
             return false;
--- a/crates/runtime/src/side/control.rs
+++ b/crates/runtime/src/side/control.rs
@@ -6,8 +6,8 @@
 };
 
 use citronrill_decide::{
-    CancelAnswer, EngineReport, HeldModel, Page, Side, SideEffect, SideEvent,
-    rows::{Cached, Tier, phase_word},
+    CancelAnswer, EngineModel, EngineReport, Page, Side, SideEffect, SideEvent,
+    rows::{Cached, Tier, phase_name},
 };
 use citronrill_platform::{EngineState, HttpEngine, LoadOrder, PlatformError, Table, UnloadOrder};
 use citronrill_wire as wire;
@@ -96,11 +96,11 @@
             SideEffect::Commit(id, txn) => {
                 self.backends.exchanges.meter().add("table_commits", "", 1);
                 let table = self.backends.table.clone();
-                self.query(move || SideEvent::Committed(id, table.commit(&txn)));
+                self.query(move || SideEvent::TxnFinished(id, table.commit(&txn)));
             }
             SideEffect::ListEngine => {
                 let engine = self.backends.engine.clone();
-                self.query(move || SideEvent::Engine(engine.state().ok().map(engine_report)));
+                self.query(move || SideEvent::EngineListed(engine.state().ok().map(engine_report)));
             }
             SideEffect::Load { order, model, base, fence, memory_mb, peak_mb } => {
                 let order = LoadOrder { order, model, base, fence, memory_mb, peak_mb };
@@ -112,18 +112,18 @@
                 let engine = self.backends.engine.clone();
                 self.send_order(order.order, move || engine.unload(&order));
             }
-            SideEffect::Run(id) => {
+            SideEffect::RunCall(id) => {
                 let input = self.input.clone();
-                let ended = move || drop(input.send(Input::Event(SideEvent::Ended(id))));
+                let ended = move || drop(input.send(Input::Event(SideEvent::CallEnded(id))));
                 self.backends.exchanges.run(id, self.side.running() as u32, ended);
             }
-            SideEffect::Attach(id) => self.backends.exchanges.attach(id),
+            SideEffect::AttachCall(id) => self.backends.exchanges.attach(id),
             SideEffect::Decline(id, why) => {
-                self.backends.exchanges.meter().add("declines", why.word(), 1);
+                self.backends.exchanges.meter().add("declines", why.as_str(), 1);
                 self.backends.exchanges.decline(id, why, self.side.running() as u32);
             }
-            SideEffect::Stop(id) => self.backends.exchanges.stop(id),
-            SideEffect::Cancelled(id, answer) => {
+            SideEffect::AbortCall(id) => self.backends.exchanges.stop(id),
+            SideEffect::AnswerCancel(id, answer) => {
                 let answer = match answer {
                     CancelAnswer::NotRun => 0,
                     CancelAnswer::Ran => 1,
@@ -178,12 +178,12 @@
     fn dump(&self, link: &Link) {
         let row = self.side.endpoint_row();
         let replicas = row.into_iter().flat_map(|row| &row.replicas).map(|replica| {
-            json!({ "model": replica.model, "phase": phase_word(replica.phase()),
+            json!({ "model": replica.model, "phase": phase_name(replica.phase()),
                 "memory_mb": replica.memory_mb, "order": replica.order })
         });
         let json = json!({
             "role": "side",
-            "mode": self.side.mode_word(),
+            "mode": self.side.mode_name(),
             "version": self.side.config_version(),
             "confirmed": self.side.serving(),
             "epoch": self.side.epoch(),
@@ -200,7 +200,7 @@
 }
 
 fn engine_report(state: EngineState) -> EngineReport {
-    let held = state.held.into_iter().map(|model| HeldModel {
+    let models = state.held.into_iter().map(|model| EngineModel {
         model: model.model,
         ready: model.ready,
         memory_mb: model.memory_mb,
@@ -209,5 +209,5 @@
         let tier = if model.ram { Tier::Ram } else { Tier::Disk };
         Cached { model: model.model, tier: tier.into() }
     });
-    EngineReport { held: held.collect(), cached: cached.collect() }
+    EngineReport { models: models.collect(), cached: cached.collect() }
 }
--- a/crates/runtime/src/side/frames.rs
+++ b/crates/runtime/src/side/frames.rs
@@ -46,7 +46,7 @@
         let id = |number| CallId { session: link.peer.session, number };
         match kind {
             Kind::RowChanged(change) if link.peer.role == PeerRole::Entry => {
-                self.event(SideEvent::Poke(change.reply_to));
+                self.event(SideEvent::RowChanged(change.reply_to));
             }
             Kind::Dump(_) => drop(self.input.send(Input::Dump(link.clone()))),
             _ if link.peer.role != PeerRole::Entry => {}
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use citronrill_http::{Answer, Header, respond};
+use citronrill_http::{Header, ResponseWriter, respond};
 use citronrill_platform::{EngineState, LoadOrder, UnloadOrder};
 use serde_json::{Value, json};
 use tiny_http::Request;
@@ -90,12 +90,12 @@
     }
 
     /// Returns the maximum memory in use so far, in MB.
-    pub fn most_memory(&self) -> u64 {
+    pub fn peak_memory_mb(&self) -> u64 {
         self.engine.lock().max_used_mb
     }
 
     /// Returns the number of loads started.
-    pub fn loads(&self) -> u64 {
+    pub fn loads_started(&self) -> u64 {
         self.engine.lock().loads_started
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Returns the names of the ready models.
-    pub fn models(&self) -> Vec<String> {
+    pub fn ready_models(&self) -> Vec<String> {
         let state = self.engine.lock();
         state.models.iter().filter(|(_, it)| it.ready).map(|(name, _)| name.clone()).collect()
     }
@@ -279,7 +279,7 @@
         chat: bool,
     ) -> std::io::Result<()> {
         let headers = [Header::new("Content-Type", "text/event-stream")];
-        let mut answer = Answer::begin(request, 200, &headers)?;
+        let mut response = ResponseWriter::begin(request, 200, &headers)?;
         for (index, word) in words.iter().enumerate() {
             std::thread::park_timeout(Duration::from_millis(self.options.token_ms));
             let last = index + 1 == words.len();
@@ -291,10 +291,10 @@
             };
             let event = json!({ "id": format!("answer-{id}"), "created": 0,
                 "object": "chat.completion.chunk", "model": model, "choices": [choice] });
-            answer.part(format!("data: {event}\n\n").as_bytes())?;
+            response.write_part(format!("data: {event}\n\n").as_bytes())?;
         }
-        answer.part(b"data: [DONE]\n\n")?;
-        answer.end()
+        response.write_part(b"data: [DONE]\n\n")?;
+        response.finish()
     }
 }
 
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -12,7 +12,7 @@
 
 impl Faults {
     /// Sets whether the table and the object store answer every call with an error.
-    pub fn set_away(&self, unavailable: bool) {
+    pub fn set_unavailable(&self, unavailable: bool) {
         self.unavailable.store(unavailable, Ordering::Release);
     }
 
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordedCall {
     /// The HTTP method.
-    pub verb: String,
+    pub method: String,
     /// The path.
     pub path: String,
     /// Size of the body, in bytes.
@@ -29,7 +29,7 @@
 
 /// A running plain service.
 pub struct PlainStandin {
-    ledger: Arc<Mutex<Vec<RecordedCall>>>,
+    calls: Arc<Mutex<Vec<RecordedCall>>>,
     server: HttpServer,
 }
 
@@ -39,12 +39,12 @@
     /// # Errors
     /// The address cannot be listened on.
     pub fn start(address: SocketAddr, delay_ms: u64) -> Result<PlainStandin, StandinError> {
-        let ledger = Arc::new(Mutex::new(Vec::new()));
-        let shared = ledger.clone();
+        let calls = Arc::new(Mutex::new(Vec::new()));
+        let shared = calls.clone();
         let server = HttpServer::start("plain", address, THREADS, move |request| {
             handle(request, &shared, delay_ms);
         })?;
-        Ok(PlainStandin { ledger, server })
+        Ok(PlainStandin { calls, server })
     }
 
     /// Returns the address on which it listens.
@@ -53,23 +53,23 @@
     }
 
     /// Returns the recorded calls, in order.
-    pub fn ledger(&self) -> Vec<RecordedCall> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    pub fn recorded_calls(&self) -> Vec<RecordedCall> {
+        self.calls.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-fn handle(mut request: Request, ledger: &Mutex<Vec<RecordedCall>>, delay_ms: u64) {
+fn handle(mut request: Request, calls: &Mutex<Vec<RecordedCall>>, delay_ms: u64) {
     let body = read_body(&mut request);
     let call = RecordedCall {
-        verb: request.method().to_string(),
+        method: request.method().to_string(),
         path: request.url().to_owned(),
         size: body.len(),
         hash: hash_bytes(&body),
     };
     let number = {
-        let mut ledger = ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        ledger.push(call);
-        ledger.len()
+        let mut calls = calls.lock().unwrap_or_else(PoisonError::into_inner);
+        calls.push(call);
+        calls.len()
     };
     std::thread::park_timeout(Duration::from_millis(delay_ms));
     let headers = [Header::new("Content-Type", "text/plain"), Header::new("X-Entry", "yes")];
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -84,12 +84,12 @@
     }
 
     /// Adds an instance to the list, or updates it.
-    pub fn list(&self, instance: Instance) {
-        self.state.list(instance);
+    pub fn register(&self, instance: Instance) {
+        self.state.register(instance);
     }
 
     /// Removes an instance from the list.
-    pub fn unlist(&self, name: &str) {
+    pub fn deregister(&self, name: &str) {
         self.state.instances().remove(name);
     }
 }
@@ -99,7 +99,7 @@
         self.instances.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn list(&self, instance: Instance) {
+    fn register(&self, instance: Instance) {
         self.instances().insert(instance.name.clone(), instance);
     }
 
@@ -143,8 +143,8 @@
     }
 
     fn changes(&self, body: &[u8]) -> (u16, Vec<u8>) {
-        let Ok(ask) = TableChanges::decode(body) else { return (400, Vec::new()) };
-        let changes = self.table.changes(&ask.prefix, ask.since, ask.limit as usize);
+        let Ok(request) = TableChanges::decode(body) else { return (400, Vec::new()) };
+        let changes = self.table.changes(&request.prefix, request.since, request.limit as usize);
         let changes = changes.unwrap_or_default();
         let rows = changes.rows.into_iter().map(TableRow::from).collect();
         (200, TableRows { rows, sequence: changes.sequence }.encode_to_vec())
@@ -169,7 +169,7 @@
 
     fn put_instance(&self, body: &[u8]) -> (u16, Vec<u8>) {
         let Ok(instance) = serde_json::from_slice(body) else { return (400, Vec::new()) };
-        self.list(instance);
+        self.register(instance);
         (200, Vec::new())
     }
 
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -9,9 +9,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WeightLimits {
     /// Concurrent loads at full speed; with more, all slow down equally.
-    pub once: u64,
+    pub concurrent_loads: u64,
     /// Loads started per second; more are refused.
-    pub second: u64,
+    pub loads_per_second: u64,
 }
 
 #[derive(Debug)]
@@ -49,7 +49,7 @@
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         state.started.retain(|at| now.duration_since(*at) < Duration::from_secs(1));
-        if state.started.len() as u64 >= self.limits.second {
+        if state.started.len() as u64 >= self.limits.loads_per_second {
             state.refused += 1;
             return false;
         }
@@ -58,7 +58,8 @@
         state.max_running = state.max_running.max(state.running);
         let mut remaining = millis as f64;
         while remaining > 0.0 {
-            let share = self.limits.once as f64 / state.running.max(self.limits.once) as f64;
+            let share = self.limits.concurrent_loads as f64
+                / state.running.max(self.limits.concurrent_loads) as f64;
             let speed = share / state.slowdown as f64;
             let started = Instant::now();
             let wait = Duration::from_millis((remaining / speed).ceil().min(50.0) as u64 + 1);
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -1,7 +1,7 @@
 //! `citronrill apply`: submits a configuration.
 
 use argh::FromArgs;
-use citronrill_runtime::{Applied, apply_text};
+use citronrill_runtime::{ApplyOutcome, apply_config};
 use serde_json::json;
 
 use crate::{
@@ -36,10 +36,10 @@
         let platform = Platform::new(&settings.platform);
         let config = read_file(&self.file)?;
         let (table, objects) = (platform.table.as_ref(), platform.objects.as_ref());
-        let applied = apply_text(table, objects, &self.file, &config, self.base)?;
+        let applied = apply_config(table, objects, &self.file, &config, self.base)?;
         let (outcome, version) = match applied {
-            Applied::Accepted { version } => ("accepted", version),
-            Applied::Unchanged { version } => ("unchanged", version),
+            ApplyOutcome::Accepted { version } => ("accepted", version),
+            ApplyOutcome::Unchanged { version } => ("unchanged", version),
         };
         if self.json {
             println!("{}", json!({ "outcome": outcome, "version": version }));
--- a/src/commands/dev.rs
+++ b/src/commands/dev.rs
@@ -13,7 +13,7 @@
 use citronrill_decide::Policies;
 use citronrill_platform::{Instance, Role};
 use citronrill_runtime::{
-    EntryOptions, EntryProcess, SideOptions, SideProcess, apply_text, dump_json,
+    EntryOptions, EntryProcess, SideOptions, SideProcess, apply_config, fetch_dump_json,
 };
 use citronrill_standin::{
     EngineOptions, EngineStandin, PlainStandin, PlatformStandin, WeightLimits,
@@ -142,11 +142,14 @@
     http: Option<SocketAddr>,
 ) -> Result<Running, CommandError> {
     let pool = &catalogue.pool;
-    let limits = WeightLimits { once: pool.concurrent_loads, second: pool.loads_per_second };
+    let limits = WeightLimits {
+        concurrent_loads: pool.concurrent_loads,
+        loads_per_second: pool.loads_per_second,
+    };
     let platform = PlatformStandin::start(any_port(), limits)?;
     let address = platform.address();
     let clients = Platform::new(&platform_settings(address));
-    apply_text(clients.table.as_ref(), clients.objects.as_ref(), file, config, Some(0))?;
+    apply_config(clients.table.as_ref(), clients.objects.as_ref(), file, config, Some(0))?;
     let largest = catalogue.models.values().map(|model| model.peak_mb).max();
     let memory_mb =
         largest.ok_or(CommandError::Missing("the configuration has no model"))? * ENGINE_MODELS;
@@ -238,7 +241,7 @@
 
 fn register(platform: &PlatformStandin, name: &str, index: usize, address: SocketAddr, role: Role) {
     let (name, address) = (name.to_owned(), address.to_string());
-    platform.list(Instance { name, zone: zone(index), address, role, leaving: false });
+    platform.register(Instance { name, zone: zone(index), address, role, leaving: false });
 }
 
 fn healthy(http: SocketAddr) -> bool {
@@ -248,7 +251,7 @@
 
 /// Returns whether the entry knows the endpoints of all sides.
 fn knows_all_endpoints(running: &Running) -> bool {
-    let state = dump_json(running.entry.listen_address(), SECRET);
+    let state = fetch_dump_json(running.entry.listen_address(), SECRET);
     let endpoints = state.ok().and_then(|state| Some(state["endpoints"].as_object()?.len()));
     endpoints == Some(running.sides.len())
 }
--- a/src/commands/dump.rs
+++ b/src/commands/dump.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use argh::FromArgs;
-use citronrill_runtime::ask_dump;
+use citronrill_runtime::fetch_dump;
 
 use crate::{
     exit::{CommandError, Exit},
@@ -27,7 +27,7 @@
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
         let settings = read_client_settings(&self.settings)?;
         let address = self.address.to_string();
-        let json = ask_dump(self.address, &settings.secret)
+        let json = fetch_dump(self.address, &settings.secret)
             .map_err(|source| CommandError::Peer { address, source })?;
         println!("{json}");
         Ok(Exit::Success)
--- a/src/commands/replay.rs
+++ b/src/commands/replay.rs
@@ -4,14 +4,14 @@
 
 use argh::FromArgs;
 use citronrill_lab::{
-    Deployment, FIXED_LONG, FIXED_MIDDLE, FIXED_SHORT, LITORAL, NAIVE, OURS, ReplayReport, Rules,
-    VIENNA, replay,
+    DEFAULT, Deployment, FIXED_LONG, FIXED_MIDDLE, FIXED_SHORT, LITORAL, NAIVE, PolicySet,
+    ReplayReport, VIENNA, replay,
 };
 
 use crate::exit::{CommandError, Exit};
 
 const DEPLOYMENTS: [&Deployment; 2] = [&VIENNA, &LITORAL];
-const RULES: [Rules; 5] = [OURS, NAIVE, FIXED_SHORT, FIXED_MIDDLE, FIXED_LONG];
+const POLICY_SETS: [PolicySet; 5] = [DEFAULT, NAIVE, FIXED_SHORT, FIXED_MIDDLE, FIXED_LONG];
 
 /// Replay arrival traces of both deployments through the reducers on virtual time; print a table.
 #[derive(FromArgs)]
@@ -37,9 +37,9 @@
         thread::scope(|scope| {
             let mut runs = Vec::new();
             for deployment in DEPLOYMENTS {
-                for rules in RULES {
-                    let run = scope.spawn(move || replay(deployment, &rules, days, warm_up));
-                    runs.push((deployment.name, rules.name, run));
+                for policy_set in POLICY_SETS {
+                    let run = scope.spawn(move || replay(deployment, &policy_set, days, warm_up));
+                    runs.push((deployment.name, policy_set.name, run));
                 }
             }
             for (deployment, rules, run) in runs {
@@ -61,8 +61,8 @@
          | {reads:.2} | {:.3} | {} |",
         report.requests,
         report.refused,
-        report.colds,
-        report.bound_ms[1],
+        report.cold_starts,
+        report.lower_bound_ms[1],
         report.idle_hours,
         report.clairvoyant_hours,
         report.loads,
--- a/src/commands/show.rs
+++ b/src/commands/show.rs
@@ -1,7 +1,7 @@
 //! `citronrill show`: prints the configuration in force.
 
 use argh::FromArgs;
-use citronrill_runtime::{base_version, current_text};
+use citronrill_runtime::{base_version, current_config};
 use serde_json::json;
 
 use crate::{
@@ -26,7 +26,7 @@
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
         let settings = read_client_settings(&self.settings)?;
         let platform = Platform::new(&settings.platform);
-        let (head, config) = current_text(platform.table.as_ref(), platform.objects.as_ref())?;
+        let (head, config) = current_config(platform.table.as_ref(), platform.objects.as_ref())?;
         let body = match base_version(&config) {
             Some(_) => config.split_once('\n').map_or("", |(_, rest)| rest),
             None => &config,
