--- a/src/commands/slopes.rs
+++ b/src/commands/slopes.rs
@@ -3,7 +3,7 @@
 use std::thread;
 
 use argh::FromArgs;
-use citronrill_lab::{Operations, PLAN, ScaleReport, Size, scale};
+use citronrill_lab::{Operations, PLANNED_SIZE, ScaleReport, Size, scale};
 
 use crate::exit::{CommandError, Exit};
 
@@ -14,8 +14,24 @@
 
 /// Sizes of the current deployments: Vienna and Litoral.
 const CURRENT_SIZES: [Size; 2] = [
-    Size { entries: 3, sides: 21, models: 100, adapters: 120, zones: 3, requests: 10, wakes: 53 },
-    Size { entries: 3, sides: 12, models: 50, adapters: 40, zones: 3, requests: 5, wakes: 22 },
+    Size {
+        entries: 3,
+        sides: 21,
+        models: 100,
+        adapters: 120,
+        zones: 3,
+        requests: 10,
+        cold_requests: 53,
+    },
+    Size {
+        entries: 3,
+        sides: 12,
+        models: 50,
+        adapters: 40,
+        zones: 3,
+        requests: 5,
+        cold_requests: 22,
+    },
 ];
 
 /// Measure control messages, bytes, table operations, reducer time and staleness by size.
@@ -62,16 +78,16 @@
             println!(
                 "| {} | {} | {} | {} | {} |",
                 size.entries,
-                reads_writes(report.morning),
-                reads_writes(report.zone),
-                reads_writes(report.restart),
+                reads_writes(report.cold_burst),
+                reads_writes(report.zone_loss),
+                reads_writes(report.zone_restart),
                 report.rows
             );
         }
         println!();
         println!("Bytes per second received by one entry, by message kind:");
         for (size, report) in &reports {
-            let kinds = report.kinds.iter().filter(|(_, bytes)| *bytes >= 0.5);
+            let kinds = report.bytes_by_kind.iter().filter(|(_, bytes)| *bytes >= 0.5);
             let kinds = kinds.map(|(kind, bytes)| format!("{kind} {bytes:.0}"));
             println!("- {} entries: {}", size.entries, kinds.collect::<Vec<_>>().join(", "));
         }
@@ -82,18 +98,18 @@
         let mut sizes = Vec::new();
         for divisor in DIVISORS {
             sizes.push(Size {
-                entries: PLAN.entries / divisor,
-                sides: PLAN.sides / divisor,
-                requests: PLAN.requests / divisor as u64,
-                ..PLAN
+                entries: PLANNED_SIZE.entries / divisor,
+                sides: PLANNED_SIZE.sides / divisor,
+                requests: PLANNED_SIZE.requests / divisor as u64,
+                ..PLANNED_SIZE
             });
         }
         for adapters in ADAPTER_COUNTS {
-            sizes.push(Size { entries: 20, sides: 36, requests: 250, adapters, ..PLAN });
+            sizes.push(Size { entries: 20, sides: 36, requests: 250, adapters, ..PLANNED_SIZE });
         }
         sizes.extend(CURRENT_SIZES);
         if !self.small {
-            sizes.push(PLAN);
+            sizes.push(PLANNED_SIZE);
         }
         sizes
     }
@@ -118,12 +134,12 @@
         report.side_bytes,
         report.entry_us,
         report.side_us,
-        per_second(report.calm.polls + report.calm.reads),
-        per_second(writes(report.calm)),
+        per_second(report.steady.polls + report.steady.reads),
+        per_second(writes(report.steady)),
         report.config_ms,
         report.placement_ms,
         report.leaving_ms,
-        report.burst.0,
-        report.burst.1
+        report.burst_commits.0,
+        report.burst_commits.1
     )
 }
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -86,8 +86,10 @@
         let stop = stop_signals()?;
         match self.kind {
             Kind::Platform(command) => {
-                let limits =
-                    WeightLimits { once: command.loads_once, second: command.loads_second };
+                let limits = WeightLimits {
+                    concurrent_loads: command.loads_once,
+                    loads_per_second: command.loads_second,
+                };
                 let platform = PlatformStandin::start(command.listen, limits)?;
                 wait_for_stop("platform", platform.address(), &stop);
             }
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -2,7 +2,7 @@
 
 use argh::FromArgs;
 use citronrill_platform::InstanceList;
-use citronrill_runtime::{dump_json, head};
+use citronrill_runtime::{config_head, fetch_dump_json};
 use serde_json::{Value, json};
 
 use crate::{
@@ -27,12 +27,12 @@
     pub(crate) fn run(self) -> Result<Exit, CommandError> {
         let settings = read_client_settings(&self.settings)?;
         let platform = Platform::new(&settings.platform);
-        let accepted = head(platform.table.as_ref()).map(|(head, _)| head.version);
+        let accepted = config_head(platform.table.as_ref()).map(|(head, _)| head.version);
         let instances = platform.instances.list()?;
         let mut rows = Vec::new();
         for instance in &instances {
             let state = instance.address.parse().ok();
-            let state = state.and_then(|address| dump_json(address, &settings.secret).ok());
+            let state = state.and_then(|address| fetch_dump_json(address, &settings.secret).ok());
             rows.push(instance_row(&instance.name, &instance.zone, instance.leaving, state));
         }
         // While the table is unavailable, the highest version of any process counts as current.
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -103,8 +103,10 @@
             CommandError::Config(_)
             | CommandError::File { .. }
             | CommandError::Missing(_)
-            | CommandError::Apply(ApplyError::Text(_) | ApplyError::NoBase { .. }) => Exit::Usage,
-            CommandError::Apply(ApplyError::Lost { .. }) => Exit::Conflict,
+            | CommandError::Apply(ApplyError::InvalidConfig(_) | ApplyError::NoBase { .. }) => {
+                Exit::Usage
+            }
+            CommandError::Apply(ApplyError::Conflict { .. }) => Exit::Conflict,
             _ => Exit::Failure,
         }
     }
--- a/tests/all/configuration.rs
+++ b/tests/all/configuration.rs
@@ -1,6 +1,6 @@
 //! An accepted configuration takes effect at every entry and is never reverted.
 
-use citronrill_runtime::{Applied, ApplyError, apply_text, current_text, head};
+use citronrill_runtime::{ApplyError, ApplyOutcome, apply_config, config_head, current_config};
 use serde_json::json;
 
 use crate::support::{Clients, Deployment, config};
@@ -17,11 +17,11 @@
     let deployment = Deployment::start(2, 1);
     let clients = Clients::new(deployment.platform.address());
     let (table, objects) = (clients.table.as_ref(), clients.objects.as_ref());
-    let first = apply_text(table, objects, "a.ini", &with_model("ours"), Some(1)).unwrap();
-    assert_eq!(first, Applied::Accepted { version: 2 });
-    let second = apply_text(table, objects, "b.ini", &with_model("theirs"), Some(1));
-    assert!(matches!(second, Err(ApplyError::Lost { base: 1, winner: 2 })), "{second:?}");
-    let (_, in_force) = current_text(table, objects).unwrap();
+    let first = apply_config(table, objects, "a.ini", &with_model("ours"), Some(1)).unwrap();
+    assert_eq!(first, ApplyOutcome::Accepted { version: 2 });
+    let second = apply_config(table, objects, "b.ini", &with_model("theirs"), Some(1));
+    assert!(matches!(second, Err(ApplyError::Conflict { base: 1, current: 2 })), "{second:?}");
+    let (_, in_force) = current_config(table, objects).unwrap();
     assert!(in_force.contains("ours") && !in_force.contains("theirs"));
     deployment.wait_until("version 2 at both entries", |deployment| {
         (0..2).all(|entry| deployment.version(entry) == Some(2))
@@ -36,10 +36,10 @@
     let clients = Clients::new(deployment.platform.address());
     let (table, objects) = (clients.table.as_ref(), clients.objects.as_ref());
     deployment.platform.faults().lose_confirmations(1);
-    let offer = || apply_text(table, objects, "a.ini", &with_model("new"), Some(1)).unwrap();
-    assert_eq!(offer(), Applied::Accepted { version: 2 });
-    assert_eq!(offer(), Applied::Accepted { version: 2 });
-    assert_eq!(head(table).unwrap().0.version, 2);
+    let offer = || apply_config(table, objects, "a.ini", &with_model("new"), Some(1)).unwrap();
+    assert_eq!(offer(), ApplyOutcome::Accepted { version: 2 });
+    assert_eq!(offer(), ApplyOutcome::Accepted { version: 2 });
+    assert_eq!(config_head(table).unwrap().0.version, 2);
 }
 
 /// An entry starts while the table and the object store are unavailable. It finds its peers in the
@@ -50,7 +50,7 @@
     let mut deployment = Deployment::start(2, 1);
     let (status, _) = deployment.chat(0, "north-key", "alpha", "warm", false);
     assert_eq!(status, 200);
-    deployment.platform.faults().set_away(true);
+    deployment.platform.faults().set_unavailable(true);
     deployment.add_entry(2);
     deployment.wait_until("the configuration at the new entry", |deployment| {
         deployment.version(2) == Some(1)
@@ -58,7 +58,7 @@
     let (status, body) = deployment.chat(2, "north-key", "alpha", "still here", false);
     assert_eq!(status, 200, "{body}");
     assert_eq!(deployment.state(2)["ready"], json!(true));
-    deployment.platform.faults().set_away(false);
+    deployment.platform.faults().set_unavailable(false);
     deployment.wait_until("a confirmed version", |deployment| {
         deployment.state(2)["confirmed"] == json!(true)
     });
@@ -73,7 +73,7 @@
     let (table, objects) = (clients.table.as_ref(), clients.objects.as_ref());
     let without =
         config().replace("[adapter alpha-de]\nbase = alpha\nmemory_mb = 100\nload_ms = 60\n", "");
-    apply_text(table, objects, "a.ini", &without, Some(1)).unwrap();
+    apply_config(table, objects, "a.ini", &without, Some(1)).unwrap();
     deployment.wait_until("version 2", |deployment| deployment.version(0) == Some(2));
     let (status, body) = deployment.chat(0, "north-key", "alpha-de", "gone", false);
     assert_eq!(status, 404, "{body}");
--- a/tests/all/life.rs
+++ b/tests/all/life.rs
@@ -32,7 +32,7 @@
 fn warm_models_are_served_through_an_outage_of_the_table() {
     let deployment = Deployment::start(1, 2);
     assert_eq!(deployment.chat(0, "north-key", "alpha", "wake up", false).0, 200);
-    deployment.platform.faults().set_away(true);
+    deployment.platform.faults().set_unavailable(true);
     deployment.wait_until("the entry to report the outage", |deployment| {
         deployment.state(0)["gauges"]["store_up"] == json!(0)
     });
@@ -42,7 +42,7 @@
     assert_eq!((status, &problem["title"]), (503, &json!("store-down")));
     assert_eq!(problem["ran"], json!("no"));
     assert!(problem["retry_after_ms"].as_u64().is_some());
-    deployment.platform.faults().set_away(false);
+    deployment.platform.faults().set_unavailable(false);
     deployment.wait_until("the entry to report the end of the outage", |deployment| {
         deployment.state(0)["gauges"]["store_up"] == json!(1)
     });
@@ -67,7 +67,7 @@
     assert_eq!(book(1, "sofa-7", "sofa, Thursday"), first);
     assert_eq!(book(0, "sofa-7", "sofa, Thursday"), first);
     assert_eq!(book(1, "sofa-8", "sofa, Friday").0, 200);
-    assert_eq!(deployment.plain.ledger().len(), 2);
+    assert_eq!(deployment.plain.recorded_calls().len(), 2);
     let reused = book(0, "sofa-7", "a piano, Thursday!");
     assert_eq!(reused.0, 422, "{reused:?}");
 }
@@ -88,7 +88,7 @@
     }
     assert_eq!(parse_stream(&body), (format!("You asked: {words}"), true));
     deployment.wait_until("the engine to have no models", |deployment| {
-        deployment.engines[0].models().is_empty()
+        deployment.engines[0].ready_models().is_empty()
     });
 }
 
@@ -112,13 +112,14 @@
 fn a_draining_endpoint_gets_no_new_work() {
     let deployment = Deployment::start(1, 2);
     assert_eq!(deployment.chat(0, "south-key", "beta", "wake up", false).0, 200);
-    let holder = (0..2).find(|index| !deployment.engines[*index].models().is_empty()).unwrap();
+    let holder =
+        (0..2).find(|index| !deployment.engines[*index].ready_models().is_empty()).unwrap();
     deployment.sides[holder].drain(true);
     deployment.wait_until("the model to be unloaded", |deployment| {
-        deployment.engines[holder].models().is_empty()
+        deployment.engines[holder].ready_models().is_empty()
     });
     assert_eq!(deployment.chat(0, "south-key", "beta", "elsewhere", false).0, 200);
-    assert_eq!(deployment.engines[1 - holder].models(), ["beta"]);
+    assert_eq!(deployment.engines[1 - holder].ready_models(), ["beta"]);
 }
 
 /// A planned stop of an entry answers pending requests and exits within its time limit.
@@ -147,7 +148,8 @@
 fn connections_close_when_their_side_stops() {
     let mut deployment = Deployment::start(1, 2);
     assert_eq!(deployment.chat(0, "north-key", "alpha", "wake up", false).0, 200);
-    let holder = (0..2).find(|index| !deployment.engines[*index].models().is_empty()).unwrap();
+    let holder =
+        (0..2).find(|index| !deployment.engines[*index].ready_models().is_empty()).unwrap();
     let url = deployment.url(0, "/v1/chat/completions");
     let callers = (0..6).map(|caller| {
         let url = url.clone();
@@ -204,10 +206,10 @@
     let outcomes = callers.into_iter().flat_map(|caller| caller.join().unwrap());
     assert!(outcomes.collect::<Vec<_>>().iter().all(|answered| *answered));
     let mut hashes =
-        deployment.plain.ledger().into_iter().map(|call| call.hash).collect::<Vec<_>>();
+        deployment.plain.recorded_calls().into_iter().map(|call| call.hash).collect::<Vec<_>>();
     let all = hashes.len();
     hashes.sort_unstable();
     hashes.dedup();
     assert_eq!(hashes.len(), all, "a booking ran twice");
-    assert!(deployment.engines.iter().all(|engine| engine.most_memory() <= 20_000));
+    assert!(deployment.engines.iter().all(|engine| engine.peak_memory_mb() <= 20_000));
 }
--- a/tests/all/path.rs
+++ b/tests/all/path.rs
@@ -39,9 +39,9 @@
             });
         }
     });
-    let loaded = deployment.engines.iter().map(|engine| engine.loads()).sum::<u64>();
+    let loaded = deployment.engines.iter().map(|engine| engine.loads_started()).sum::<u64>();
     assert!(loaded <= 4, "more than one load per model and a second replica of alpha: {loaded}");
-    assert!(deployment.engines.iter().all(|engine| engine.most_memory() <= 20_000));
+    assert!(deployment.engines.iter().all(|engine| engine.peak_memory_mb() <= 20_000));
 }
 
 /// An invalid request must be refused with its specific error and must not load a model.
@@ -71,7 +71,7 @@
         attohttpc::get(deployment.url(0, "/elsewhere")).send().unwrap().status().as_u16(),
         404
     );
-    assert_eq!(deployment.engines[0].loads(), 0);
+    assert_eq!(deployment.engines[0].loads_started(), 0);
     assert!(attohttpc::get(deployment.url(0, "/healthz")).send().unwrap().is_success());
 }
 
@@ -94,7 +94,7 @@
         let _ = stream.read_to_string(&mut answer);
         assert!(answer.starts_with(expected), "{length}: {answer}");
     }
-    assert_eq!(deployment.engines[0].loads(), 0);
+    assert_eq!(deployment.engines[0].loads_started(), 0);
     assert!(attohttpc::get(deployment.url(0, "/healthz")).send().unwrap().is_success());
 }
 
@@ -124,7 +124,7 @@
         assert!(answer.ends_with(&body), "{size}");
         assert!(answer.starts_with(b"entry "));
     }
-    let ledger = deployment.plain.ledger();
-    assert_eq!(ledger.len(), 4);
-    assert!(ledger.iter().all(|call| call.verb == "PUT" && call.path == "/tickets?yard=2"));
+    let calls = deployment.plain.recorded_calls();
+    assert_eq!(calls.len(), 4);
+    assert!(calls.iter().all(|call| call.method == "PUT" && call.path == "/tickets?yard=2"));
 }
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -15,7 +15,7 @@
 };
 use citronrill_platform::{HttpInstanceList, HttpObjectStore, HttpTable, Instance, Role};
 use citronrill_runtime::{
-    EntryOptions, EntryProcess, SideOptions, SideProcess, apply_text, dump_json,
+    EntryOptions, EntryProcess, SideOptions, SideProcess, apply_config, fetch_dump_json,
 };
 use citronrill_standin::{
     EngineOptions, EngineStandin, PlainStandin, PlatformStandin, WeightLimits,
@@ -63,11 +63,11 @@
 impl Deployment {
     /// Starts `entries` entries, `engines` engines with their sides, and a plain service.
     pub(crate) fn start(entries: usize, engines: usize) -> Deployment {
-        let limits = WeightLimits { once: 4, second: 7 };
+        let limits = WeightLimits { concurrent_loads: 4, loads_per_second: 7 };
         let platform = PlatformStandin::start(free_address(), limits).unwrap();
         let clients = Clients::new(platform.address());
         let (table, objects) = (clients.table.as_ref(), clients.objects.as_ref());
-        apply_text(table, objects, "test", &config(), Some(0)).unwrap();
+        apply_config(table, objects, "test", &config(), Some(0)).unwrap();
         let plain = PlainStandin::start(free_address(), 0).unwrap();
         let mut deployment =
             Deployment { entries: vec![], sides: vec![], engines: vec![], plain, platform };
@@ -137,7 +137,7 @@
         let options = SideOptions { table: clients.table, instances: clients.instances };
         let side = SideProcess::start(settings, options).unwrap();
         let common = &settings.common;
-        self.list(&common.instance, &common.zone, side.listen_address(), Role::Side);
+        self.register(&common.instance, &common.zone, side.listen_address(), Role::Side);
         side
     }
 
@@ -158,18 +158,18 @@
         };
         let entry = EntryProcess::start(&settings, options).unwrap();
         let zone = &settings.common.zone;
-        self.list(&name, zone, entry.listen_address(), Role::Entry);
+        self.register(&name, zone, entry.listen_address(), Role::Entry);
         self.entries.push(entry);
     }
 
-    fn list(&self, name: &str, zone: &str, address: SocketAddr, role: Role) {
+    fn register(&self, name: &str, zone: &str, address: SocketAddr, role: Role) {
         let (name, zone, address) = (name.to_owned(), zone.to_owned(), address.to_string());
-        self.platform.list(Instance { name, zone, address, role, leaving: false });
+        self.platform.register(Instance { name, zone, address, role, leaving: false });
     }
 
     fn is_settled(&self) -> bool {
         self.entries.iter().all(|entry| {
-            let state = dump_json(entry.listen_address(), SECRET).unwrap_or_default();
+            let state = fetch_dump_json(entry.listen_address(), SECRET).unwrap_or_default();
             let endpoints = state["endpoints"].as_object().map_or(0, |all| all.len());
             let members = state["members"].as_array().map_or(0, |all| all.len());
             state["ready"] == json!(true)
@@ -189,7 +189,7 @@
 
     /// Returns the state that an entry reports.
     pub(crate) fn state(&self, entry: usize) -> Value {
-        dump_json(self.entries[entry].listen_address(), SECRET).unwrap_or_default()
+        fetch_dump_json(self.entries[entry].listen_address(), SECRET).unwrap_or_default()
     }
 
     /// Returns the version of the configuration that an entry uses.
