--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/caller_server.rs
@@ -30,11 +30,11 @@
 };
 
 use crate::{
-    call::{ConnectionGuard, set_socket_options},
     dialect::Dialect,
     entry::{EntryStatus, EventSender, ProgressCounter, RequestHandle, StopPlan},
     error::GatewayError,
     exchange::{Exchange, Outcome, OutgoingRequest, strip_connection_headers},
+    http_client::{ConnectionGuard, set_socket_options},
     metrics::EntryMetrics,
     relay::Relay,
 };
@@ -240,7 +240,7 @@
     async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         self.metrics.requests.increment();
         let (parts, body) = request.into_parts();
-        let meta = self.dialect.request(&parts.headers);
+        let meta = self.dialect.request_meta(&parts.headers);
         let limit = self.limits.borrow().body_bytes;
         let body_timeout = Duration::from_millis(meta.deadline_ms.unwrap_or(BODY_TIMEOUT_MS));
         let body = match timeout(body_timeout, Limited::new(body, limit).collect()).await {
@@ -257,12 +257,12 @@
         let id = RequestId(next_id());
         let arrival = Arrival {
             id,
-            caller_id: meta.caller.clone(),
+            caller_id: meta.caller_id.clone(),
             host: host.split(':').next().unwrap_or("").to_owned(),
             path: parts.uri.path().to_owned(),
             deadline_ms: meta.deadline_ms,
             model: meta.model,
-            prefix_hash: meta.prefix,
+            prefix_hash: meta.prefix_hash,
             tokens: meta.tokens,
         };
         let outgoing = OutgoingRequest {
@@ -270,7 +270,7 @@
             uri: parts.uri,
             headers: parts.headers,
             body,
-            caller_id: meta.caller,
+            caller_id: meta.caller_id,
         };
         let (sender, commands) = unbounded_channel();
         let progress = ProgressCounter::default();
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -11,7 +11,7 @@
 pub enum DialectError {
     /// A body is malformed.
     #[error("unreadable {what}: {reason}")]
-    Shape {
+    Malformed {
         /// What was decoded.
         what: &'static str,
         /// Error of the decoder.
@@ -63,13 +63,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RequestMeta {
     /// Request ID assigned by the caller.
-    pub caller: String,
+    pub caller_id: String,
     /// Milliseconds until the caller's deadline, if it sets one.
     pub deadline_ms: Option<u64>,
     /// Name of the model, followed by a slash and the adapter's name if one is requested.
     pub model: String,
     /// Hash of the first part of the prompt; 0 if unknown.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// Token counts of the request.
     pub tokens: TokenCount,
 }
@@ -91,54 +91,58 @@
     fn read_path(&self, table: Table, from: Option<&str>) -> String;
 
     /// Returns the path that long-polls for changes after `version`, for at most `wait_ms`.
-    fn watch_path(&self, table: Table, version: u64, wait_ms: u64) -> String;
+    fn changes_path(&self, table: Table, version: u64, wait_ms: u64) -> String;
 
     /// Decodes the response to a call of either path.
     ///
     /// # Errors
     /// The body is malformed.
-    fn rows(&self, body: &[u8]) -> Result<RowPage, DialectError>;
+    fn decode_rows(&self, body: &[u8]) -> Result<RowPage, DialectError>;
 
-    /// Returns whether a row of [`Table::Text`] is the configuration.
-    fn is_text(&self, key: &str) -> bool;
+    /// Returns whether `key` is the key of the configuration in [`Table::Text`].
+    fn is_config_key(&self, key: &str) -> bool;
 
     /// Decodes the configuration.
     ///
     /// # Errors
     /// The bytes are not a valid configuration.
-    fn text(&self, bytes: &[u8]) -> Result<ServingConfig, DialectError>;
+    fn decode_config(&self, bytes: &[u8]) -> Result<ServingConfig, DialectError>;
 
     /// Decodes the member list row of an endpoint.
     ///
     /// # Errors
     /// The bytes are not a valid row.
-    fn member(&self, key: &str, bytes: &[u8]) -> Result<Member, DialectError>;
+    fn decode_member(&self, key: &str, bytes: &[u8]) -> Result<Member, DialectError>;
 
     /// Extracts the metadata of a caller's request.
-    fn request(&self, headers: &HeaderMap) -> RequestMeta;
+    fn request_meta(&self, headers: &HeaderMap) -> RequestMeta;
 
     /// Rewrites a caller's headers for the endpoint that the request is sent to.
-    fn forward(&self, headers: &mut HeaderMap, dispatch: &Dispatch);
+    fn rewrite_headers(&self, headers: &mut HeaderMap, dispatch: &Dispatch);
 
-    /// Decodes the head of an endpoint's response to the request with ID `caller`, which was sent to
+    /// Decodes the head of an endpoint's response to the request with ID `caller_id`, which was sent to
     /// `instance`.
-    fn answer(
+    fn response_head(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
-        caller: &str,
+        caller_id: &str,
         instance: &str,
     ) -> ResponseHead;
 
     /// Encodes an order sent by `holder`, the name of the side that gives it.
-    fn order(&self, order: &Order, holder: &str) -> OrderCall;
+    fn encode_order(&self, order: &Order, holder: &str) -> OrderCall;
 
     /// Decodes an endpoint's response to an order; with the name of its incarnation if the order expected
     /// another one.
-    fn ordered(&self, status: StatusCode, headers: &HeaderMap) -> (OrderOutcome, Option<String>);
+    fn decode_order_response(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> (OrderOutcome, Option<String>);
 
     /// Returns the name of the endpoint's incarnation from the headers of its response.
-    fn named(&self, headers: &HeaderMap) -> Option<String>;
+    fn incarnation_name(&self, headers: &HeaderMap) -> Option<String>;
 
     /// Returns the path of an endpoint's state report.
     fn report_path(&self) -> &'static str;
@@ -147,5 +151,5 @@
     ///
     /// # Errors
     /// The body is not a valid report.
-    fn report(&self, body: &[u8]) -> Result<EngineReport, DialectError>;
+    fn decode_report(&self, body: &[u8]) -> Result<EngineReport, DialectError>;
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -22,13 +22,13 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::{
-    board::PlatformView,
-    copies::{ConfigTransfer, run_config_fetch},
+    caller_server::{CallerServer, listen, serve},
+    config_transfer::{ConfigTransfer, run_config_fetch},
     dialect::{Dialect, Table},
     error::GatewayError,
-    front::{CallerServer, listen, serve},
     logs::{LogRateLimit, LogStats},
     metrics::{EntryMetrics, serve_metrics},
+    platform_view::PlatformView,
     seeds::{bootstrap_from_seeds, serve_snapshots},
     sides::{SideCommand, run_sides},
     store::watch_table,
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -18,10 +18,10 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use crate::{
-    call::{ConnectionGuard, HttpConnection},
     dialect::Dialect,
     entry::{Command, EventSender, ProgressCounter},
     error::GatewayError,
+    http_client::{ConnectionGuard, HttpConnection},
     metrics::EntryMetrics,
 };
 
@@ -125,7 +125,8 @@
             Ok((response, guard)) => {
                 let (status, headers) = (response.status(), response.headers());
                 let caller_id = &self.outgoing.caller_id;
-                let head = self.dialect.answer(status, headers, caller_id, &dispatch.instance);
+                let head =
+                    self.dialect.response_head(status, headers, caller_id, &dispatch.instance);
                 self.events.send(EntryEvent::ResponseHead(self.id, dispatch.number, head));
                 Some((response, guard))
             }
@@ -153,7 +154,7 @@
     let mut headers = outgoing.headers.clone();
     strip_connection_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
-    dialect.forward(&mut headers, dispatch);
+    dialect.rewrite_headers(&mut headers, dispatch);
     *request.headers_mut() = headers;
     let response = connection.send(request).await;
     let response = response.map_err(|error| (FailureKind::Broken, error))?;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,18 +5,18 @@
 //! channel ends the task that reads from it. The platform's paths, headers and encodings are behind
 //! [`Dialect`], so this crate doesn't depend on them.
 
-mod board;
-mod call;
-mod copies;
+mod caller_server;
+mod config_transfer;
 mod dialect;
 mod entry;
 mod error;
-mod events;
+mod event_splitter;
 mod exchange;
-mod front;
-mod link;
+mod framing;
+mod http_client;
 mod logs;
 mod metrics;
+mod platform_view;
 mod relay;
 mod seeds;
 mod side;
--- a/crates/gateway/src/board.rs
+++ b/crates/gateway/src/platform_view.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    copies::ConfigTransfer,
+    config_transfer::ConfigTransfer,
     dialect::{Dialect, RowPage, RowValue, StoreRow, Table},
     entry::{EventSender, LoadedConfig},
 };
@@ -71,7 +71,7 @@
 
     /// Decodes a configuration from the store or a peer and keeps it if it is newer.
     pub(crate) fn offer_config(&self, bytes: &[u8], source: &str) {
-        let config = match self.dialect.text(bytes) {
+        let config = match self.dialect.decode_config(bytes) {
             Ok(config) => config,
             Err(error) => {
                 log::warn!("event=text_unreadable source={source} error=\"{error}\"");
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Applies rows from the store; with `whole`, they are the whole table.
-    pub(crate) fn apply_rows(&self, table: Table, page: RowPage, whole: bool) {
+    /// Applies rows from the store; with `complete`, they are the whole table.
+    pub(crate) fn apply_rows(&self, table: Table, page: RowPage, complete: bool) {
         match table {
             Table::Text => {
-                let configs = page.rows.iter().filter(|row| self.dialect.is_text(&row.key));
+                let configs = page.rows.iter().filter(|row| self.dialect.is_config_key(&row.key));
                 for row in configs {
                     match &row.value {
                         RowValue::Bytes(bytes) => self.offer_config(bytes, "store"),
@@ -112,7 +112,7 @@
                     }
                 }
             }
-            Table::Members => self.apply_members(page.version, whole, page.rows),
+            Table::Members => self.apply_members(page.version, complete, page.rows),
         }
     }
 
@@ -167,7 +167,7 @@
         let StoreRow { key, value } = row;
         let decoded = match value {
             RowValue::Removed => Ok(None),
-            RowValue::Bytes(bytes) => match self.dialect.member(&key, &bytes) {
+            RowValue::Bytes(bytes) => match self.dialect.decode_member(&key, &bytes) {
                 Ok(member) => Ok(Some((member, bytes))),
                 Err(error) => Err(error.to_string()),
             },
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -12,10 +12,10 @@
 use thiserror::Error;
 
 use crate::{
-    call::ConnectionGuard,
     entry::{Command, EventSender},
-    events::EventSplitter,
+    event_splitter::EventSplitter,
     exchange::{Exchange, Outcome},
+    http_client::ConnectionGuard,
 };
 
 /// Why a response ends early.
--- a/crates/gateway/src/seeds.rs
+++ b/crates/gateway/src/seeds.rs
@@ -17,9 +17,9 @@
 };
 
 use crate::{
-    board::PlatformView,
-    call::{connect, set_socket_options},
-    link::{Receiver, Sender, split},
+    framing::{Receiver, Sender, split},
+    http_client::{connect, set_socket_options},
+    platform_view::PlatformView,
 };
 
 /// Milliseconds for the store to answer before peers are asked: it normally takes a few.
--- a/crates/gateway/src/side/engine.rs
+++ b/crates/gateway/src/side/endpoint_client.rs
@@ -10,9 +10,9 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    call::{ControlClient, get},
     dialect::Dialect,
     error::GatewayError,
+    http_client::{ControlClient, get},
 };
 
 /// Milliseconds for a state report: it normally takes a few, and an old report is useless.
@@ -78,7 +78,7 @@
             if response.status() != StatusCode::OK {
                 return Err(GatewayError::Status(response.status().as_u16()));
             }
-            Ok(self.dialect.report(response.body())?)
+            Ok(self.dialect.decode_report(response.body())?)
         };
         match read.await {
             Ok(report) => Some(report),
@@ -96,7 +96,7 @@
             ControlClient::new(self.address).call(request, REPORT_TIMEOUT_MS).await
         };
         match response.await {
-            Ok(response) => match self.dialect.named(response.headers()) {
+            Ok(response) => match self.dialect.incarnation_name(response.headers()) {
                 Some(name) => self.send_event(SideEvent::NameReported(name)),
                 None => log::info!("event=endpoint_unnamed status={}", response.status()),
             },
@@ -105,7 +105,7 @@
     }
 
     async fn send_order(&self, order: &Order) -> (OrderOutcome, Option<String>) {
-        let call = self.dialect.order(order, &self.holder);
+        let call = self.dialect.encode_order(order, &self.holder);
         let mut request = Request::new(Full::new(Bytes::from(call.body)));
         *request.method_mut() = hyper::Method::POST;
         *request.uri_mut() = hyper::Uri::from_static(call.path);
@@ -119,7 +119,7 @@
             Ok(response) => {
                 let status = response.status();
                 log::debug!("event=order_status order={} status={status}", order.number);
-                self.dialect.ordered(status, response.headers())
+                self.dialect.decode_order_response(status, response.headers())
             }
             Err(error) => {
                 log::info!("event=order_unanswered order={} error=\"{error}\"", order.number);
--- a/crates/gateway/src/side/entries.rs
+++ b/crates/gateway/src/side/entries.rs
@@ -19,10 +19,10 @@
 
 use super::SideMetrics;
 use crate::{
-    call::set_socket_options,
-    copies::{ConfigTransfer, run_config_fetch},
+    config_transfer::{ConfigTransfer, run_config_fetch},
     dialect::Dialect,
-    link::split,
+    framing::split,
+    http_client::set_socket_options,
 };
 
 /// State shared by the connections from entries.
@@ -185,7 +185,7 @@
     if !newer(&context.config.borrow()) {
         return;
     }
-    match context.dialect.text(&encoded.bytes) {
+    match context.dialect.decode_config(&encoded.bytes) {
         Ok(config) => {
             context.transfer.send_event(ConfigFetchEvent::OwnVersion(encoded.version));
             context.config.send_replace(Some(encoded));
--- a/crates/gateway/src/side/mod.rs
+++ b/crates/gateway/src/side/mod.rs
@@ -1,6 +1,6 @@
 //! The side process: its control thread, and the tasks for its endpoint and its entries.
 
-mod engine;
+mod endpoint_client;
 mod entries;
 
 use std::{sync::Arc, thread, time::Duration};
@@ -16,11 +16,11 @@
 };
 
 use self::{
-    engine::{EndpointCall, EndpointClient},
+    endpoint_client::{EndpointCall, EndpointClient},
     entries::{ConnectionContext, EntryConnections, accept_entries, fetch_config},
 };
 use crate::{
-    copies::ConfigTransfer,
+    config_transfer::ConfigTransfer,
     dialect::Dialect,
     error::GatewayError,
     logs::{LogRateLimit, LogStats},
--- a/crates/gateway/src/sides.rs
+++ b/crates/gateway/src/sides.rs
@@ -18,12 +18,12 @@
 };
 
 use crate::{
-    board::PlatformView,
-    call::connect,
-    copies::ConfigTransfer,
+    config_transfer::ConfigTransfer,
     entry::{EventSender, LoadedConfig, side_address},
     error::GatewayError,
-    link::split,
+    framing::split,
+    http_client::connect,
+    platform_view::PlatformView,
 };
 
 /// Milliseconds without a message after which a connection counts as lost: a side sends one every
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -14,10 +14,10 @@
 use tokio::time::sleep;
 
 use crate::{
-    board::PlatformView,
-    call::{ControlClient, get},
     dialect::{Dialect, RowPage, Table},
     error::GatewayError,
+    http_client::{ControlClient, get},
+    platform_view::PlatformView,
 };
 
 /// Milliseconds between two polls of the member list. Some endpoint writes several times a second, so a
@@ -154,7 +154,7 @@
             if status != StatusCode::OK {
                 return Err(GatewayError::Status(status.as_u16()));
             }
-            let page = self.dialect.rows(&body)?;
+            let page = self.dialect.decode_rows(&body)?;
             // The lowest version counts: whatever changed after it is read with the changes.
             let first = table.version == 0;
             table.version = if first { page.version } else { table.version.min(page.version) };
@@ -176,7 +176,7 @@
         timeout_ms: u64,
     ) -> Result<u64, GatewayError> {
         let sent_at = Instant::now();
-        let path = self.dialect.watch_path(self.table, after, hold_ms);
+        let path = self.dialect.changes_path(self.table, after, hold_ms);
         let (status, body) = self.call(&path, timeout_ms).await?;
         if status == StatusCode::GONE {
             // The store no longer has these changes, so the next call reads the whole table.
@@ -186,7 +186,7 @@
         if status != StatusCode::OK {
             return Err(GatewayError::Status(status.as_u16()));
         }
-        let page = self.dialect.rows(&body)?;
+        let page = self.dialect.decode_rows(&body)?;
         let pause_ms = self.follower.answered(page.version, millis_since(sent_at));
         if !page.rows.is_empty() {
             self.view.apply_rows(self.table, page, false);
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -2,13 +2,13 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
-#[path = "../src/events.rs"]
-mod events;
+#[path = "../src/event_splitter.rs"]
+mod event_splitter;
 
 use bytes::Bytes;
 use proptest::{prelude::*, test_runner::RngSeed};
 
-use self::events::EventSplitter;
+use self::event_splitter::EventSplitter;
 
 fn event(number: u64) -> String {
     format!("id: {number}\ndata: token {number}\n\n")
--- a/crates/insight/src/lib.rs
+++ b/crates/insight/src/lib.rs
@@ -4,12 +4,12 @@
 //! draws a run. The crate depends only on the log format, which is an interface, and on none of the
 //! types of the processes, so that it also reads the logs of earlier versions.
 
+mod explain;
 mod line;
 mod report;
-mod story;
 
 pub use crate::{
+    explain::{Explanation, explain},
     line::{Line, Log},
     report::{ReportError, report},
-    story::{Explanation, explain},
 };
--- a/crates/pool/tests/all/main.rs
+++ b/crates/pool/tests/all/main.rs
@@ -5,7 +5,6 @@
 mod budget;
 mod config_transfer;
 mod entry;
-mod follow;
 mod incarnation;
 mod load_priority;
 mod member_list;
@@ -18,5 +17,6 @@
 mod simulation;
 mod stalls;
 mod support;
+mod table_follower;
 mod ticks;
 mod waiting;
--- a/src/commands/pool.rs
+++ b/src/commands/pool.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, mpsc::channel};
 
 use argh::FromArgs;
-use citronrill_adapter::{SETTINGS_VARIABLE, UsersPlatform};
+use citronrill_adapter::{PlatformDialect, SETTINGS_VARIABLE};
 use citronrill_config::PoolSettings;
 use citronrill_gateway::{LogStats, run_entry, run_side};
 use signal_hook::{consts::SIGHUP, iterator::Signals};
@@ -35,7 +35,7 @@
 impl PoolEntry {
     pub(crate) fn run(self, logs: Arc<LogStats>) -> Result<Exit, CommandError> {
         let settings = load_settings(self.settings)?;
-        run_entry(&settings, Arc::new(UsersPlatform), logs, watch_stop()?)?;
+        run_entry(&settings, Arc::new(PlatformDialect), logs, watch_stop()?)?;
         Ok(Exit::Success)
     }
 }
@@ -43,7 +43,7 @@
 impl PoolSide {
     pub(crate) fn run(self, logs: Arc<LogStats>) -> Result<Exit, CommandError> {
         let settings = load_settings(self.settings)?;
-        run_side(&settings, Arc::new(UsersPlatform), logs, watch_stop()?)?;
+        run_side(&settings, Arc::new(PlatformDialect), logs, watch_stop()?)?;
         Ok(Exit::Success)
     }
 }
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -4,6 +4,6 @@
 
 mod commands;
 mod configuration;
-mod life;
+mod failures;
 mod path;
 mod support;
--- a/tests/pool/texts.rs
+++ b/tests/pool/config_transfer.rs
@@ -1,6 +1,6 @@
 //! Transfer of a large configuration to entries behind slow links.
 
-use citronrill_platform_standin::Harm;
+use citronrill_platform_standin::Fault;
 
 use crate::support::{Deployment, Process, large_config, wait_until};
 
@@ -32,14 +32,14 @@
     let pool = Deployment::start(&[engines, more].concat());
     let slow = pool.entry_behind_link(800_000);
     wait_connected(&pool, &slow.process);
-    let received_before = slow.link.inward();
+    let received_before = slow.link.inbound_bytes();
     let config = large_config(2, EXTRA_ROUTES);
     let size = config.len() as u64;
     pool.store.put("op", "config", Some(config));
     wait_until("the configuration is in use", || has_config(&slow.process, 2));
     // The store's encoding, one copy from a side, and a tenth for other messages.
     let limit = size * STORE_SIZE_THIRDS / 3 + size + size / 10;
-    let received = slow.link.inward() - received_before;
+    let received = slow.link.inbound_bytes() - received_before;
     assert!(received <= limit, "{received} bytes received for a configuration of {size}");
 }
 
@@ -61,7 +61,7 @@
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"])]);
     let (entry, proxy) = pool.entry_behind_proxy();
     wait_connected(&pool, &entry);
-    proxy.set(Harm::Silent);
+    proxy.set_fault(Fault::Hang);
     pool.store.put("op", "config", Some(large_config(2, EXTRA_ROUTES)));
     wait_until("the configuration is in use", || has_config(&entry, 2));
     assert!(entry.logged(&["event=text_copied", "version=2"]));
--- a/tests/pool/life.rs
+++ b/tests/pool/life.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use citronrill_platform_standin::{Harm, Outage};
+use citronrill_platform_standin::{Fault, Outage};
 
 use crate::support::{Deployment, Process, Request, Response, WAIT_TIMEOUT, config, wait_until};
 
@@ -75,7 +75,7 @@
 fn a_config_is_read_after_a_silent_store_outage() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     assert_eq!(pool.request(&Request::call("/added/x", "id-1")).status, 404);
-    pool.store.set_outage(Some(Outage::Silent));
+    pool.store.set_outage(Some(Outage::Hang));
     pool.wait_until("the loss of the store is logged", || {
         pool.entry.logged(&["event=store_lost", "table=Text"])
     });
@@ -106,9 +106,9 @@
         });
         let count = |event: &str| entry.count(&[event, "table=Members"]);
         let (lost, regained) = (count("event=store_lost"), count("event=store_regained"));
-        proxy.set(Harm::OneWay);
+        proxy.set_fault(Fault::BlockResponses);
         pool.wait_until("the member list is lost", || count("event=store_lost") > lost);
-        proxy.set(Harm::None);
+        proxy.set_fault(Fault::None);
         pool.wait_until("the member list is back", || count("event=store_regained") > regained);
         if abandoned() {
             return;
@@ -123,7 +123,7 @@
 fn a_config_is_read_after_the_store_loses_its_history() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     pool.store.put("op", "config", Some(config(6, &["/added/"])));
-    pool.store.forget();
+    pool.store.truncate_history();
     pool.wait_until("the configuration is read", || {
         pool.entry.logged(&["event=text ", "version=6"])
     });
@@ -172,8 +172,8 @@
 #[test]
 fn draining_or_unlisted_workers_get_no_requests() {
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"]), ("e3", &["m0"])]);
-    pool.engines[0].list("draining");
-    pool.engines[1].unlist();
+    pool.engines[0].register("draining");
+    pool.engines[1].deregister();
     pool.wait_until("the member list is read", || {
         pool.entry.logged(&["event=members", "known=3 open=2"])
     });
@@ -181,7 +181,7 @@
         let id = format!("id-{index}");
         assert_eq!(pool.request(&Request::stream("/draft/x", &id, "m0")).status, 200);
     }
-    assert!(pool.engines[0].ran().is_empty() && pool.engines[1].ran().is_empty());
+    assert!(pool.engines[0].executed().is_empty() && pool.engines[1].executed().is_empty());
 }
 
 /// SIGTERM arrives in the middle of a stream. The stream completes, the entry reports that it is not
--- a/tests/pool/main.rs
+++ b/tests/pool/main.rs
@@ -2,11 +2,11 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that cannot go on must fail")]
 
-mod answers;
+mod config_transfer;
 mod events;
 mod life;
 mod members;
 mod requests;
+mod responses;
 mod resume;
 mod support;
-mod texts;
--- a/tests/pool/members.rs
+++ b/tests/pool/members.rs
@@ -24,7 +24,7 @@
         });
         assert_eq!(pool.request(&Request::stream("/draft/x", &id, "m0")).status, 200);
     }
-    assert_eq!(pool.engines[0].broken(), Vec::<String>::new());
+    assert_eq!(pool.engines[0].violations(), Vec::<String>::new());
 }
 
 /// The member list contains invalid entries: one that is not JSON, one of an unknown service, and a
@@ -65,7 +65,7 @@
         pool.entry.logged(&["event=member_unreadable", "ledger-1"])
     });
     assert_eq!(pool.request(&Request::call("/book/x", "id-2")).status, 503);
-    pool.ledger.list("ready");
+    pool.ledger.register("ready");
     pool.wait_until("the worker is back", || {
         pool.request(&Request::call("/book/x", "id-3")).status == 200
     });
--- a/tests/pool/requests.rs
+++ b/tests/pool/requests.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use citronrill_platform_standin::Mode;
+use citronrill_platform_standin::WorkerMode;
 
 use crate::support::{Deployment, Request, Response};
 
@@ -15,7 +15,8 @@
     assert_eq!((response.status, response.complete), (200, true), "{response:?}");
     assert_eq!(response.body.matches("data: x").count(), 20);
     assert_eq!(response.header("x-citronrill-attempt-id"), Some("id-1"));
-    let orders = pool.engines.iter().flat_map(|engine| engine.orders()).collect::<Vec<_>>();
+    let orders =
+        pool.engines.iter().flat_map(|engine| engine.accepted_orders()).collect::<Vec<_>>();
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!(orders[0]["operation"], "load");
     assert_eq!(orders[0]["fencing_token"], 1);
@@ -32,7 +33,7 @@
         assert_eq!(pool.request(&Request::stream("/chat/x", &id, model)).status, 200);
     }
     assert_eq!(pool.request(&Request::stream("/draft/x", "id-9", "m3")).status, 200);
-    let orders = pool.engines[0].orders();
+    let orders = pool.engines[0].accepted_orders();
     assert_eq!((&orders[0]["operation"], &orders[0]["model"]), (&"evict".into(), &"m2".into()));
 }
 
@@ -46,12 +47,12 @@
     let request = Request { headers, ..Request::stream("/draft/x", "id-1", "m0") };
     assert_eq!(pool.request(&request).status, 200);
     let engine = &pool.engines[0];
-    assert_eq!(engine.header("x-citronrill-hold"), None);
-    assert_eq!(engine.header("x-citronrill-pin-ms"), None);
-    assert_eq!(engine.header("kv-from"), None);
-    assert_eq!(engine.header("x-other").as_deref(), Some("kept"));
-    assert_eq!(engine.header("x-citronrill-expect-instance").as_deref(), Some("e1"));
-    let remaining = engine.header("x-citronrill-deadline-ms").unwrap().parse::<u64>().unwrap();
+    assert_eq!(engine.last_header("x-citronrill-hold"), None);
+    assert_eq!(engine.last_header("x-citronrill-pin-ms"), None);
+    assert_eq!(engine.last_header("kv-from"), None);
+    assert_eq!(engine.last_header("x-other").as_deref(), Some("kept"));
+    assert_eq!(engine.last_header("x-citronrill-expect-instance").as_deref(), Some("e1"));
+    let remaining = engine.last_header("x-citronrill-deadline-ms").unwrap().parse::<u64>().unwrap();
     assert!((1..=5_000).contains(&remaining), "{remaining}");
 }
 
@@ -87,17 +88,17 @@
     let mut stream = std::net::TcpStream::connect(pool.caller_address).unwrap();
     stream.write_all(b"NO REQUEST AT ALL\r\n\r\n").unwrap();
     assert_eq!(Response::read(&mut stream).status, 400);
-    assert!(pool.ledger.ran().is_empty());
+    assert!(pool.ledger.executed().is_empty());
 }
 
 /// One endpoint is full and reports that it has not executed the request. The other endpoint serves it.
 #[test]
 fn a_request_refused_as_full_fails_over() {
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"])]);
-    pool.engines[0].set_mode(Mode::Full);
+    pool.engines[0].set_mode(WorkerMode::Full);
     for index in 0..4 {
         let id = format!("id-{index}");
         assert_eq!(pool.request(&Request::stream("/draft/x", &id, "m0")).status, 200);
     }
-    assert_eq!(pool.engines[1].ran().len(), 4);
+    assert_eq!(pool.engines[1].executed().len(), 4);
 }
--- a/tests/pool/support/mod.rs
+++ b/tests/pool/support/mod.rs
@@ -168,7 +168,7 @@
     pub(crate) fn insert_proxies(&self) -> Vec<Proxy> {
         let proxy = |engine: &Worker| {
             let proxy = self.platform.proxy(engine.address());
-            engine.list_at(proxy.address());
+            engine.register_at(proxy.address());
             proxy
         };
         self.engines.iter().map(proxy).collect()
@@ -195,11 +195,11 @@
     pub(crate) fn entry_behind_link(&self, rate: u64) -> LinkedEntry {
         let link = self.platform.link(rate);
         let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let store = link.carry(listen, self.store.address());
+        let store = link.forward(listen, self.store.address());
         let port = free_port();
         for engine in &self.engines {
             let ip = engine.address().ip();
-            link.carry(SocketAddr::new(ip, port), SocketAddr::new(ip, self.peer_port));
+            link.forward(SocketAddr::new(ip, port), SocketAddr::new(ip, self.peer_port));
         }
         let (process, caller_address) = start_entry(port, store, "");
         LinkedEntry { process, caller_address, link }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use citronrill_platform_standin::{Harm, Mode, Outage, Proxy};
+use citronrill_platform_standin::{Fault, Outage, Proxy, WorkerMode};
 use rand::{Rng, rngs::SmallRng};
 
 use crate::support::{Deployment, LinkedEntry, Process, WAIT_TIMEOUT, config, large_config};
@@ -162,24 +162,30 @@
             }
             5 => self.pause_side(side, duration_ms),
             6 | 7 => {
-                let modes = [Mode::Hang, Mode::Break, Mode::Unsigned, Mode::Foreign, Mode::Full];
+                let modes = [
+                    WorkerMode::Hang,
+                    WorkerMode::Break,
+                    WorkerMode::Unsigned,
+                    WorkerMode::WrongId,
+                    WorkerMode::Full,
+                ];
                 let mode = modes[self.rng.random_range(0..modes.len())];
                 self.log_fault(format!("worker {side} in {mode:?} for {duration_ms} ms"));
                 self.deployment.engines[side].set_mode(mode);
                 self.end_after(duration_ms, FaultEnd::RestoreWorker(side));
             }
             8 | 9 => {
-                let harms = [Harm::Delay, Harm::Silent, Harm::OneWay, Harm::Reset];
-                let harm = harms[self.rng.random_range(0..harms.len())];
+                let faults = [Fault::Delay, Fault::Hang, Fault::BlockResponses, Fault::Reset];
+                let fault = faults[self.rng.random_range(0..faults.len())];
                 self.log_fault(format!(
-                    "connections to worker {side}: {harm:?} for {duration_ms} ms"
+                    "connections to worker {side}: {fault:?} for {duration_ms} ms"
                 ));
-                self.proxies[side].set(harm);
+                self.proxies[side].set_fault(fault);
                 self.end_after(duration_ms, FaultEnd::RestoreLink(side));
             }
             10 => {
                 // No further random draw, so that existing seeds keep their sequence of faults.
-                let outage = if duration_ms % 2 == 0 { Outage::Refuse } else { Outage::Silent };
+                let outage = if duration_ms % 2 == 0 { Outage::Refuse } else { Outage::Hang };
                 self.log_fault(format!("store down for {duration_ms} ms: {outage:?}"));
                 self.deployment.store.set_outage(Some(outage));
                 self.end_after(duration_ms, FaultEnd::RestoreStore);
@@ -236,7 +242,7 @@
         self.deployment.store.put("op", "config", Some(make(version)));
         if self.rng.random_bool(0.3) {
             self.log_fault("the store drops its history".to_owned());
-            self.deployment.store.forget();
+            self.deployment.store.truncate_history();
         }
     }
 
@@ -270,9 +276,9 @@
                 FaultEnd::ResumeSide(side) => self.deployment.sides[side].signal(SIGCONT),
                 FaultEnd::StartSide(side) => self.deployment.sides[side].restart(),
                 FaultEnd::RestoreWorker(side) => {
-                    self.deployment.engines[side].set_mode(Mode::Sound)
+                    self.deployment.engines[side].set_mode(WorkerMode::Normal)
                 }
-                FaultEnd::RestoreLink(side) => self.proxies[side].set(Harm::None),
+                FaultEnd::RestoreLink(side) => self.proxies[side].set_fault(Fault::None),
                 FaultEnd::RestoreStore => self.deployment.store.set_outage(None),
             }
         }
@@ -325,20 +331,20 @@
         violations
     }
 
-    /// Returns how often each request ran, over all workers.
-    pub(crate) fn ran(&self) -> BTreeMap<String, usize> {
+    /// Returns how often each request was executed, over all workers.
+    pub(crate) fn executed(&self) -> BTreeMap<String, usize> {
         let workers = self.deployment.engines.iter().chain([&self.deployment.ledger]);
-        let mut ran = BTreeMap::new();
-        for id in workers.flat_map(|worker| worker.ran()) {
-            *ran.entry(id).or_default() += 1;
+        let mut executed = BTreeMap::new();
+        for id in workers.flat_map(|worker| worker.executed()) {
+            *executed.entry(id).or_default() += 1;
         }
-        ran
+        executed
     }
 
     /// Returns violations that workers detected, and failed planned stops.
     pub(crate) fn check_workers(&self) -> Vec<String> {
         let mut violations = self.violations.clone();
-        violations.extend(self.deployment.engines.iter().flat_map(|worker| worker.broken()));
+        violations.extend(self.deployment.engines.iter().flat_map(|worker| worker.violations()));
         violations
     }
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -102,7 +102,7 @@
     let mut violations = harness.check_configs();
     violations.extend(harness.check_workers());
     let records = records.lock().unwrap();
-    violations.extend(records.iter().filter_map(|record| record.violation(&harness.ran())));
+    violations.extend(records.iter().filter_map(|record| record.violation(&harness.executed())));
     let served = records.iter().filter(|record| record.served()).count();
     let mut fault_log = harness.fault_log();
     fault_log.push(format!("{} requests, {served} served completely", records.len()));
