--- a/crates/pool/src/check_timer.rs
+++ b/crates/pool/src/check_timer.rs
@@ -11,7 +11,7 @@
 pub enum DueCheck {
     /// No check.
     Nothing,
-    /// The check of what cannot wait.
+    /// The check of urgent deadlines only.
     Urgent,
     /// The full check.
     Full,
@@ -32,7 +32,7 @@
         self.events_seen = true;
     }
 
-    /// Returns the milliseconds until the next check, where one is due every `every_ms`.
+    /// Returns the milliseconds until the next check, if checks are `every_ms` apart.
     pub fn remaining_ms(&self, every_ms: u64, now: Millis) -> u64 {
         every_ms.saturating_sub(now.since(self.last_check))
     }
--- a/crates/pool/src/config.rs
+++ b/crates/pool/src/config.rs
@@ -129,9 +129,9 @@
     pub adapter_limit: u32,
     /// Loads a second that the weight store allows, over all engines.
     pub loads_per_s: f64,
-    /// Whether an engine can copy the memory of a run to another engine while it runs.
+    /// Whether an engine can copy the KV cache of a run to another engine while it runs.
     pub backups: bool,
-    /// Bytes of a run's memory for each token.
+    /// Bytes of a run's KV cache for each token.
     pub token_bytes: u64,
     /// The models.
     pub models: Vec<ModelSpec>,
--- a/crates/pool/src/config_transfer.rs
+++ b/crates/pool/src/config_transfer.rs
@@ -333,7 +333,7 @@
     }
 }
 
-/// Returns the chunk of `config` that `request` requests.
+/// Returns the chunk of `config` that `request` asks for.
 fn chunk_at(config: &EncodedConfig, request: &ConfigChunkRequest) -> ConfigChunk {
     let begin = if request.version == config.version { request.offset } else { 0 };
     let begin = (begin as usize).min(config.bytes.len());
--- a/crates/pool/src/endpoint.rs
+++ b/crates/pool/src/endpoint.rs
@@ -99,8 +99,8 @@
     pub(crate) order_eta_ms: u64,
     pub(crate) store_loads: u32,
     pub(crate) store_slowdown: u32,
-    /// The duration so far of the current load from the weight store, in the same unit; 0 while it
-    /// is not late.
+    /// The duration so far of the current load from the weight store, in thousandths of its usual
+    /// time; 0 while it is not late.
     pub(crate) store_overdue: u32,
     /// Concurrent loads from the weight store when the late one was requested, or otherwise the
     /// last one.
--- a/crates/pool/src/entry/choose.rs
+++ b/crates/pool/src/entry/choose.rs
@@ -22,15 +22,15 @@
 /// Cost of an endpoint in another zone, as a share of the slots. Between endpoints of similar load,
 /// the one in the same zone saves cross-zone traffic and half a millisecond each way.
 const ZONE_COST: f64 = 0.4;
-/// Weight of an endpoint's failure rate. An endpoint that fails half of its requests ranks as if it
-/// ran two more batches.
+/// Weight of the failure rate above [`FAILURE_TOLERANCE`]. An endpoint that fails half of its
+/// requests ranks as if it ran 1.2 more batches.
 const FAILURE_COST: f64 = 4.0;
 /// Failure rate below which an endpoint is considered healthy: single failures are normal.
 const FAILURE_TOLERANCE: f64 = 0.2;
 /// Cost of an endpoint that could not be reached: it ranks after all others.
 const UNREACHABLE_COST: f64 = 100.0;
-/// Cost of an engine whose side is silent or cannot reach it. The instance may be gone, and the
-/// member list shows that only seconds later.
+/// Cost of an engine whose side is silent or cannot reach it, or that may be stalled. The instance
+/// may be gone, and the member list shows that only seconds later.
 const SILENT_COST: f64 = 3.0;
 /// Share of a service's runs that an endpoint may have at no cost: a little more than the even
 /// share in a small pool.
@@ -41,9 +41,9 @@
 const CONCENTRATION_MIN_RUNS: u32 = 12;
 /// Benefit of an endpoint that likely has the prompt prefix cached, as a share of the slots.
 const PREFIX_GAIN: f64 = 0.2;
-/// Fill level at which a plain endpoint takes no more requests: its slots plus two rounds waiting
-/// there. This keeps the slots busy, and keeps the endpoint's own queue of four rounds from
-/// refusing requests that several entries dispatch at the same moment.
+/// Fill level at which a plain endpoint takes no more requests: its slots plus twice as many queued
+/// requests. This keeps the slots busy, and keeps the endpoint's own queue, which holds four times
+/// its slots, from refusing requests that several entries dispatch at the same moment.
 const PLAIN_FULL: f64 = 3.0;
 /// Fill level at which an engine takes no more requests: its batch plus a short queue. A request
 /// that waits at the entry can still be dispatched to a replica that is being loaded; one that
--- a/crates/pool/src/entry/demand.rs
+++ b/crates/pool/src/entry/demand.rs
@@ -15,7 +15,7 @@
 pub(super) const MIN_LOCAL_RATE: f64 = 0.4;
 /// Milliseconds that a refusal costs its caller, which retries after one or two seconds, once.
 pub(super) const REFUSAL_COST_MS: f64 = 2_000.0;
-/// Misses per second below which a model is no longer loaded because of them: less than one in ten
+/// Misses per second below which a model is no longer loaded because of them: one in twenty
 /// seconds.
 const MISS_FLOOR: f64 = 0.05;
 /// Requests received by this entry, by model.
@@ -143,8 +143,8 @@
         });
         let sides = sides.filter_map(|endpoint| endpoint.fresh_side(self.now));
         let loading = sides.filter(|side| side.healthy && side.loading.contains(&key));
-        let left = loading.map(|side| side.remaining_ms(self.now));
-        left.min().map(|ms| ms as f64)
+        let remaining = loading.map(|side| side.remaining_ms(self.now));
+        remaining.min().map(|ms| ms as f64)
     }
 
     /// Returns the number of endpoints that hold a model, that have its weights cached, and that
@@ -182,7 +182,7 @@
     pub(super) fn load_missed(&mut self) {
         let now = self.now;
         self.demand.missed.retain(|_, rate| rate.per_s(now) > MISS_FLOOR);
-        let held = |key: &ModelKey| {
+        let is_covered = |key: &ModelKey| {
             self.load_requests.contains_key(key)
                 || self.loading_count(*key) > 0
                 || self
@@ -193,7 +193,7 @@
         };
         // Only models missed at this entry: if every entry requested the models that all of them
         // miss, engines, which load one model at a time, would load the same ones twice.
-        let missed = self.demand.missed.keys().filter(|key| !held(key));
+        let missed = self.demand.missed.keys().filter(|key| !is_covered(key));
         let missed = missed.map(|key| (self.miss_rate(*key), *key));
         let most = missed.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
         let Some((rate, key)) = most else { return };
--- a/crates/pool/src/entry/dispatch.rs
+++ b/crates/pool/src/entry/dispatch.rs
@@ -21,9 +21,9 @@
 /// Retry time, in milliseconds, when the entry is stopping: just enough to keep the retries from
 /// arriving all at once.
 const STOPPING_RETRY_MS: u64 = 50;
-/// Callers that wait for a model are spread over this fraction of its load time when they retry. An
-/// endpoint takes a whole batch at once, and reads the prompts of one batch in the time in which
-/// the next one arrives.
+/// Divisor of the time until a model is loaded: the retries of its callers are spread over that
+/// part of the time. An endpoint takes a whole batch at once, and reads the prompts of one batch in
+/// the time in which the next one arrives.
 const RETRY_SPREAD: u64 = 8;
 
 impl PoolEntry {
@@ -80,9 +80,8 @@
         self.log(event);
     }
 
-    /// Returns the number of endpoints that can run a request, and the load of its service. With
-    /// both in the log it is visible whether an endpoint with a high load was chosen or was the
-    /// only one.
+    /// Returns the number of endpoints that can run a request, and the load of its service. The log
+    /// then shows whether an endpoint with a high load was preferred to others or was the only one.
     fn alternatives(&self, id: RequestId) -> (usize, u32) {
         let Some(request) = self.requests.get(&id) else { return (0, 0) };
         let eligible = self
@@ -96,8 +95,8 @@
 
     /// Returns whether an event belongs to the last dispatch of a request.
     ///
-    /// After a failover, a response of the first endpoint may still be on its way. Taken for the
-    /// response of the second one, it would be forwarded although it is no longer held.
+    /// After a failover, a response of the first endpoint may still be on its way. Without this
+    /// check it would be forwarded as that of the second endpoint, although it is no longer held.
     pub(super) fn is_current(&self, id: RequestId, dispatch: u32) -> bool {
         self.requests
             .get(&id)
--- a/crates/pool/src/entry/load_requests.rs
+++ b/crates/pool/src/entry/load_requests.rs
@@ -86,9 +86,9 @@
             return;
         }
         let adapter = request.adapter.clone();
-        let left = request.wait_ms(self.now);
+        let wait_ms = request.wait_ms(self.now);
         let paused = self.holder_paused(request);
-        let held = |endpoint: &&Endpoint| {
+        let can_load = |endpoint: &&Endpoint| {
             endpoint.accepts_requests()
                 && endpoint.inventory.keys.contains(&base)
                 && endpoint.member.service == request.service
@@ -96,12 +96,12 @@
                 && endpoint.fresh_side(self.now).is_some_and(|side| !side.evicting.contains(&base))
         };
         if !adapter.is_empty() {
-            let holders = self.pool.endpoints.values().filter(held);
+            let holders = self.pool.endpoints.values().filter(can_load);
             let cost = |endpoint: &&Endpoint| self.adapter_cost(endpoint, &request.model, &adapter);
             let best = holders.min_by(|a, b| cost(a).total_cmp(&cost(b)));
             if let Some(best) = best {
                 let instance = best.member.instance.clone();
-                self.send_load_request(required, &instance, Vec::new(), ADAPTER_READY_MS, left);
+                self.send_load_request(required, &instance, Vec::new(), ADAPTER_READY_MS, wait_ms);
                 return;
             }
         }
@@ -116,7 +116,7 @@
                 .as_ref()
                 .is_some_and(|place| place.ready_ms + DUPLICATE_GAIN_MS < remaining_ms);
             if !sooner {
-                if remaining_ms > left as f64 {
+                if remaining_ms > wait_ms as f64 {
                     self.refuse_too_late(id, base);
                 }
                 return;
@@ -126,7 +126,7 @@
             self.wait_for_place(id, base);
             return;
         };
-        if place.ready_ms > left as f64 {
+        if place.ready_ms > wait_ms as f64 {
             // Too late for this request. Later requests need the model too, so load it anyway.
             let ttl_ms = (2.0 * place.ready_ms) as u64;
             self.send_load_request(
@@ -139,7 +139,13 @@
             self.refuse_too_late(id, base);
             return;
         }
-        self.send_load_request(base, &place.instance, place.evictions, place.ready_ms as u64, left);
+        self.send_load_request(
+            base,
+            &place.instance,
+            place.evictions,
+            place.ready_ms as u64,
+            wait_ms,
+        );
     }
 
     /// Refuses a request whose model will be loaded too late, unless a holder may only be paused.
@@ -208,8 +214,9 @@
     /// Returns the estimated milliseconds until a request's model is ready; `None` if it has a live
     /// holder.
     ///
-    /// If nobody is loading the model, the estimate is the wait for the weight store plus its load
-    /// time.
+    /// If nobody is loading the model, the estimate is its load time from disk where an endpoint
+    /// has its weights cached, and otherwise the wait for the weight store plus the load time from
+    /// there.
     pub(super) fn ready_ms(&self, request: &Request) -> Option<u64> {
         let base = request.base?;
         if self.live_holders(base).next().is_some() {
@@ -334,10 +341,10 @@
                 return !held.contains(key);
             }
             load_request.confirmed |= loading.contains(key);
-            let declined = load_request.confirmed && !loading.contains(key);
+            let ended = load_request.confirmed && !loading.contains(key);
             let unconfirmed =
                 !load_request.confirmed && now.since(load_request.sent) > CONFIRM_TIMEOUT_MS;
-            !held.contains(key) && !declined && !unconfirmed
+            !held.contains(key) && !ended && !unconfirmed
         });
     }
 
--- a/crates/pool/src/entry/mod.rs
+++ b/crates/pool/src/entry/mod.rs
@@ -38,8 +38,8 @@
     pool::{ListOutcome, Pool},
 };
 
-/// Entry count assumed until a side has reported one. A high count gives each entry a small share
-/// of the common retry budget, which is the safe error.
+/// Entry count assumed until a side has reported one. Too high a count gives each entry too small a
+/// share of the common retry budget, which is safe; too low a count exceeds the budget.
 const ASSUMED_ENTRIES: u32 = 8;
 /// Lower bound on the reported entry count: right after a start, the other entries have not
 /// connected yet.
@@ -97,7 +97,7 @@
     sent: Millis,
     /// Milliseconds from the last dispatch to the response head.
     head_ms: u64,
-    /// Instance that the request was last dispatched to.
+    /// Instance that the request is dispatched to; `None` while it waits.
     instance: Option<String>,
     /// Instances that failed or refused the request.
     tried: Vec<String>,
@@ -282,37 +282,37 @@
         self.log(LogEvent::new("text").with("version", config.version).with("old", old));
         let services = config.services.iter().map(|service| service.name.clone()).collect();
         self.config = Some(config);
-        let listed = self.pool.set_services(services, &mut self.names, self.now);
-        self.handle_membership(listed);
+        let outcome = self.pool.set_services(services, &mut self.names, self.now);
+        self.handle_membership(outcome);
         self.update_sides();
         self.schedule_waiting();
     }
 
     fn apply_members(&mut self, change: MemberChange) {
-        let listed = self.pool.apply(change, &mut self.names, self.now);
+        let outcome = self.pool.apply(change, &mut self.names, self.now);
         self.preload.record_list(self.now);
-        self.handle_membership(listed);
+        self.handle_membership(outcome);
         self.schedule_waiting();
     }
 
     /// Handles the effects of a membership change.
-    fn handle_membership(&mut self, listed: ListOutcome) {
+    fn handle_membership(&mut self, outcome: ListOutcome) {
         let version = self.pool.list_version;
-        for instance in listed.restarted {
+        for instance in outcome.restarted {
             self.handle_restart(&instance, "list");
         }
-        for instance in listed.deferred {
+        for instance in outcome.deferred {
             let event = LogEvent::new("older_start").with("instance", instance);
             self.log(event.with("version", version));
         }
-        for service in listed.departed {
+        for service in outcome.departed {
             self.preload.count_departure(&service, self.now);
         }
-        for (instance, service) in listed.unserved {
+        for (instance, service) in outcome.unserved {
             let event = LogEvent::new("unknown_service").with("instance", instance);
             self.log(event.with("service", service).with("version", version));
         }
-        if listed.usable_changed {
+        if outcome.usable_changed {
             let open =
                 self.pool.endpoints.values().filter(|endpoint| endpoint.accepts_requests()).count();
             let event = LogEvent::new("members").with("version", version);
@@ -438,9 +438,9 @@
         let slots = holders.map(|endpoint| endpoint.member.slots).sum::<u32>();
         let entries = self.entries();
         let rounds = (ahead + 1) as f64 * f64::from(entries) / f64::from(slots.max(1));
-        let left = request.wait_ms(self.now) as f64;
+        let wait_ms = request.wait_ms(self.now) as f64;
         let too_long = request.waited_too_long(self.now);
-        if rounds * SLOT_TURNOVER_MS > left - SLOT_TURNOVER_MS || too_long {
+        if rounds * SLOT_TURNOVER_MS > wait_ms - SLOT_TURNOVER_MS || too_long {
             self.refuse(id, Reason::Full);
         }
     }
--- a/crates/pool/src/entry/preload.rs
+++ b/crates/pool/src/entry/preload.rs
@@ -122,8 +122,8 @@
         let leaving = self.leaving_rate(service);
         let copies = self.copies(service);
         let keys = self.preload.requests.keys().copied();
-        let known = keys.filter(|key| !self.load_requests.contains_key(key));
-        let gains = known.filter_map(|key| {
+        let candidates = keys.filter(|key| !self.load_requests.contains_key(key));
+        let gains = candidates.filter_map(|key| {
             let spec = engine.model(self.names.name(key))?;
             let rate = self.long_rate(key);
             let held = copies.get(&key).copied().unwrap_or(0);
@@ -148,8 +148,8 @@
             .filter(|endpoint| endpoint.accepts_requests() && endpoint.member.service == service)
             .count();
         let departures = self.preload.departures.get(service);
-        let left = departures.map_or(0.0, |count| count.decayed(DEPARTURE_DECAY_MS, self.now));
-        left * 1_000.0 / DEPARTURE_DECAY_MS / open.max(1) as f64
+        let departed = departures.map_or(0.0, |count| count.decayed(DEPARTURE_DECAY_MS, self.now));
+        departed * 1_000.0 / DEPARTURE_DECAY_MS / open.max(1) as f64
     }
 
     /// Returns the number of a service's endpoints that hold, cache or are loading each model.
--- a/crates/pool/src/entry/resume.rs
+++ b/crates/pool/src/entry/resume.rs
@@ -26,7 +26,7 @@
 /// Milliseconds within which losses at one address count as one: all streams there break at once,
 /// and the next incarnation is reported soon after.
 const LOSS_WINDOW_MS: u64 = 3_000;
-/// Milliseconds that an engine takes for one token of a response at half a batch.
+/// Milliseconds that an engine takes for one token of a response with a half-full batch.
 const TOKEN_MS: f64 = 10.0;
 /// Copied bytes that are worth one saved stream. A copy costs bandwidth, and memory at the other
 /// endpoint that its own runs then lack. With every stream copied, prompts of 9,000 tokens at 128
@@ -61,9 +61,9 @@
     fn loss_rate(&self, service: &str) -> f64 {
         let count = self.losses.by_service.get(service);
         let lost = count.map_or(0.0, |count| count.decayed(LOSS_DECAY_MS, self.now));
-        let known =
+        let endpoints =
             self.pool.endpoints.values().filter(|endpoint| endpoint.member.service == service);
-        lost * 1_000.0 / LOSS_DECAY_MS / known.count().max(1) as f64
+        lost * 1_000.0 / LOSS_DECAY_MS / endpoints.count().max(1) as f64
     }
 
     /// Returns whether a copy of a run's KV cache is worth its cost: the probability that the run
@@ -168,8 +168,8 @@
         retry_charged
     }
 
-    /// Resumes a resumable stream at any endpoint that holds its model. Returns whether it was
-    /// resumed.
+    /// Schedules a resumable stream again, for any endpoint that can run it. Returns false if no
+    /// further attempt is permitted.
     fn resume_anywhere(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let allowed = request.retry_policy == RetryPolicy::ResumableStream
--- a/crates/pool/src/entry/rules.rs
+++ b/crates/pool/src/entry/rules.rs
@@ -8,12 +8,12 @@
 /// Returns the service for a request. A hash of the request ID spreads requests over the shares.
 pub(super) fn pick_service<'a>(route: &'a Route, caller_id: &str) -> Option<&'a str> {
     let total = route.shares.iter().map(|(_, weight)| u64::from(*weight)).sum::<u64>();
-    let mut left = hash_bytes(caller_id.as_bytes()) % total.max(1);
+    let mut point = hash_bytes(caller_id.as_bytes()) % total.max(1);
     let pick = route.shares.iter().find(|(_, weight)| {
         let weight = u64::from(*weight);
-        let here = left < weight;
-        left = left.saturating_sub(weight);
-        here
+        let selected = point < weight;
+        point = point.saturating_sub(weight);
+        selected
     });
     pick.or(route.shares.first()).map(|(service, _)| service.as_str())
 }
--- a/crates/pool/src/entry/stalls.rs
+++ b/crates/pool/src/entry/stalls.rs
@@ -104,7 +104,8 @@
         self.log(event.with("begun", responding));
     }
 
-    /// Returns whether a request is at a stalled endpoint and no retry has been charged for it.
+    /// Returns whether a request is at a stalled endpoint, may be dispatched again, and has no
+    /// retry charged yet.
     fn is_stuck(&self, request: &Request) -> bool {
         let endpoint =
             request.instance.as_ref().and_then(|instance| self.pool.endpoints.get(instance));
--- a/crates/pool/src/entry/store_loads.rs
+++ b/crates/pool/src/entry/store_loads.rs
@@ -80,7 +80,8 @@
         in_demand.max(self.miss_rate(model))
     }
 
-    /// Returns whether no endpoint has a model's weights cached, or has the model loaded and room.
+    /// Returns whether no endpoint has a model's weights cached, and none that holds the model has
+    /// room.
     pub(super) fn only_in_store(&self, model: ModelKey) -> bool {
         let available = |endpoint: &Endpoint| {
             endpoint.accepts_requests()
--- a/crates/pool/src/entry/timers.rs
+++ b/crates/pool/src/entry/timers.rs
@@ -18,7 +18,7 @@
         self.end_expired();
         self.refuse_before_disconnect();
         self.refuse_on_stop();
-        self.record_stalls();
+        self.record_unanswered();
         self.probe_sides();
         self.fail_over_stalled();
         self.fail_over_unanswered();
@@ -29,8 +29,8 @@
         self.check_deadlines();
         self.refuse_long_waits();
         self.expire_load_requests();
-        let listed = self.pool.apply_deferred(&mut self.names, self.now);
-        self.handle_membership(listed);
+        let outcome = self.pool.apply_deferred(&mut self.names, self.now);
+        self.handle_membership(outcome);
         self.schedule_waiting();
         self.add_replicas();
         self.load_missed();
@@ -38,9 +38,9 @@
     }
 
     fn end_expired(&mut self) {
-        let over = self.requests.iter().filter(|(_, request)| self.now >= request.deadline);
-        let over = over.map(|(id, request)| (*id, request.stage, request.runs));
-        for (id, stage, runs) in over.collect::<Vec<_>>() {
+        let expired = self.requests.iter().filter(|(_, request)| self.now >= request.deadline);
+        let expired = expired.map(|(id, request)| (*id, request.stage, request.runs));
+        for (id, stage, runs) in expired.collect::<Vec<_>>() {
             match stage {
                 Stage::Waiting if runs == 0 => self.refuse(id, Reason::Expired),
                 Stage::Waiting | Stage::Sent => self.refuse(id, Reason::TimedOut),
@@ -59,11 +59,11 @@
     /// served once the model is ready.
     fn refuse_before_disconnect(&mut self) {
         let waiting = self.requests.iter().filter(|(_, request)| request.stage == Stage::Waiting);
-        let over = waiting.filter(|(_, request)| {
+        let leaving = waiting.filter(|(_, request)| {
             request.runs == 0 && request.wait_ms(self.now) < MIN_REMAINING_MS
         });
-        let over = over.map(|(id, request)| (*id, request.late_reason(self.now)));
-        for (id, reason) in over.collect::<Vec<_>>() {
+        let leaving = leaving.map(|(id, request)| (*id, request.late_reason(self.now)));
+        for (id, reason) in leaving.collect::<Vec<_>>() {
             self.refuse(id, reason);
         }
     }
@@ -72,7 +72,7 @@
     ///
     /// An endpoint that hangs sends no responses, so its time to first byte can only be estimated
     /// from the requests that wait there.
-    fn record_stalls(&mut self) {
+    fn record_unanswered(&mut self) {
         self.pool.endpoints.values_mut().for_each(|endpoint| endpoint.unanswered_ms = 0);
         for request in self.requests.values().filter(|request| request.stage == Stage::Sent) {
             let endpoint = request
@@ -165,7 +165,7 @@
     /// makes every request wait for longer than the objective, and none is answered in time. Late
     /// requests therefore get only the capacity that the others leave.
     ///
-    /// Among requests with the same requirements, the rest is skipped once one found no place: the
+    /// Once a request cannot be dispatched, later ones with the same requirements are skipped: the
     /// queue may hold hundreds, and an entry has a fifth of a core.
     pub(super) fn schedule_waiting(&mut self) {
         let waiting = self.requests.iter().filter(|(_, request)| request.stage == Stage::Waiting);
--- a/crates/pool/src/entry/types.rs
+++ b/crates/pool/src/entry/types.rs
@@ -22,7 +22,7 @@
     pub retry_ratio: f64,
     /// Permitted retries in addition, over all entries.
     pub retry_slack: f64,
-    /// The window of both, in milliseconds.
+    /// The sliding window to which both limits apply, in milliseconds.
     pub retry_window_ms: u64,
 }
 
@@ -67,9 +67,9 @@
     pub signed: bool,
     /// Whether the response names another request, or none although one was required.
     pub misdirected: bool,
-    /// Whether another incarnation of an endpoint answered than the intended one.
+    /// Whether the response comes from another incarnation of the endpoint than the intended one.
     pub other_incarnation: bool,
-    /// Requests that run and wait there, if reported.
+    /// Requests running or queued at the endpoint, if reported.
     pub load: Option<u32>,
 }
 
@@ -273,6 +273,6 @@
     Forward,
     /// The request has not run: it may be retried whatever its kind.
     NotRun,
-    /// The request has run and failed, or may have.
+    /// The response must not be forwarded, and the request may have run.
     Failed,
 }
--- a/crates/pool/src/incarnation.rs
+++ b/crates/pool/src/incarnation.rs
@@ -31,8 +31,9 @@
 /// accepted, requests would go to models that are no longer held, and orders would rely on a count
 /// that has been reset.
 ///
-/// An older start time is accepted once it has been the latest one for [`OLDER_START_DELAY_MS`]: the clock of
-/// an instance may be set back, and the next incarnation would otherwise never be accepted.
+/// An older start time is accepted once it has been the latest one for [`OLDER_START_DELAY_MS`]:
+/// the clock of an instance may be set back, and the next incarnation would otherwise never be
+/// accepted.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct KnownIncarnation {
     time: Option<StartTime>,
--- a/crates/pool/src/liveness.rs
+++ b/crates/pool/src/liveness.rs
@@ -8,7 +8,7 @@
 
 /// Milliseconds without traffic after which a side is probed while its endpoint has requests.
 const PROBE_MS: u64 = 100;
-/// The same while it has none: a side sends its state every 500 to 700.
+/// The same while it has none: a side sends its state every 500 to 700 ms.
 const IDLE_PROBE_MS: u64 = 900;
 /// Milliseconds without a probe reply before other endpoints are preferred.
 const SUSPECT_MS: u64 = 60;
@@ -41,8 +41,8 @@
         self.connected = true;
     }
 
-    /// Records that the peer has closed the connection to its side: the process has ended, so the
-    /// instance responds.
+    /// Records that the peer has closed the connection to its side. The side's process has ended,
+    /// but an instance that closes connections is not stalled.
     pub(crate) fn mark_disconnected(&mut self) {
         self.connected = false;
         self.probed_at = None;
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -58,34 +58,34 @@
         names: &mut Interner<ModelKey>,
         now: Millis,
     ) -> ListOutcome {
-        let mut listed = ListOutcome::default();
+        let mut outcome = ListOutcome::default();
         // A list that was read earlier can arrive later; it must not bring back endpoints that have
         // left.
         if change.version < self.list_version {
-            return listed;
+            return outcome;
         }
         self.list_version = change.version;
         if change.complete {
-            self.drop_unlisted(&change.rows, now, &mut listed);
+            self.drop_unlisted(&change.rows, now, &mut outcome);
         }
         for (id, member) in change.rows {
             match member {
                 Some(member) if self.is_served(&member.service) => {
                     self.unserved.remove(&id);
-                    self.upsert(member, change.complete, names, now, &mut listed);
+                    self.upsert(member, change.complete, names, now, &mut outcome);
                 }
                 member => {
                     self.ended.remove(&id);
-                    self.remove_unlisted(&id, &mut listed);
+                    self.remove_unlisted(&id, &mut outcome);
                     self.unserved.remove(&id);
                     if let Some(member) = member {
-                        listed.unserved.push((id.clone(), member.service.clone()));
+                        outcome.unserved.push((id.clone(), member.service.clone()));
                         self.unserved.insert(id, member);
                     }
                 }
             }
         }
-        listed
+        outcome
     }
 
     /// Removes endpoints that a complete member list does not contain.
@@ -93,7 +93,7 @@
         &mut self,
         rows: &[(String, Option<Member>)],
         now: Millis,
-        changes: &mut ListOutcome,
+        outcome: &mut ListOutcome,
     ) {
         let listed = |id: &String| rows.iter().any(|(row, _)| row == id);
         self.ended.retain(listed);
@@ -103,16 +103,16 @@
         let gone =
             self.endpoints.iter().filter(|(id, endpoint)| !listed(id) && !reported(endpoint));
         let gone = gone.map(|(id, _)| id.clone()).collect::<Vec<_>>();
-        gone.iter().for_each(|id| self.remove_unlisted(id, changes));
+        gone.iter().for_each(|id| self.remove_unlisted(id, outcome));
     }
 
     /// Removes an endpoint that is no longer listed.
-    fn remove_unlisted(&mut self, id: &str, listed: &mut ListOutcome) {
+    fn remove_unlisted(&mut self, id: &str, outcome: &mut ListOutcome) {
         let Some(endpoint) = self.endpoints.get(id) else { return };
         if endpoint.accepts_requests() {
-            listed.departed.push(endpoint.member.service.clone());
+            outcome.departed.push(endpoint.member.service.clone());
         }
-        listed.usable_changed = true;
+        outcome.usable_changed = true;
         self.remove(id);
     }
 
@@ -133,7 +133,7 @@
         names: &mut Interner<ModelKey>,
         now: Millis,
     ) -> ListOutcome {
-        let mut listed = ListOutcome::default();
+        let mut outcome = ListOutcome::default();
         let unserved = self
             .endpoints
             .iter()
@@ -145,15 +145,15 @@
         self.services = Some(services);
         for (id, member) in unserved {
             self.remove(&id);
-            listed.usable_changed = true;
-            listed.unserved.push((id.clone(), member.service.clone()));
+            outcome.usable_changed = true;
+            outcome.unserved.push((id.clone(), member.service.clone()));
             self.unserved.insert(id, member);
         }
         for member in served {
             self.unserved.remove(&member.instance);
-            self.upsert(member, true, names, now, &mut listed);
+            self.upsert(member, true, names, now, &mut outcome);
         }
-        listed
+        outcome
     }
 
     /// Removes an endpoint; another one listed at its address takes over the address.
@@ -182,14 +182,14 @@
         complete: bool,
         names: &mut Interner<ModelKey>,
         now: Millis,
-        listed: &mut ListOutcome,
+        outcome: &mut ListOutcome,
     ) {
         let id = member.instance.clone();
         if self.ended.contains(&id) {
             return;
         }
         let known = self.endpoints.contains_key(&id);
-        if known && !self.apply_start_time(&member, now, listed) {
+        if known && !self.apply_start_time(&member, now, outcome) {
             return;
         }
         // An endpoint that crashed stays listed for some heartbeats beside its next incarnation.
@@ -214,9 +214,9 @@
         if endpoint.fresh_side(now).is_none() {
             endpoint.inventory = ModelInventory::from_member(&member, names);
         }
-        listed.usable_changed |= !known || endpoint.member.leaving != member.leaving;
+        outcome.usable_changed |= !known || endpoint.member.leaving != member.leaving;
         if known && endpoint.accepts_requests() && member.leaving {
-            listed.departed.push(member.service.clone());
+            outcome.departed.push(member.service.clone());
         }
         endpoint.member = member;
         endpoint.unlisted = false;
@@ -228,22 +228,27 @@
     /// A leaving endpoint is accepted as leaving immediately unless its side reports otherwise:
     /// dispatching requests to it after that would violate the guarantee given to leaving
     /// endpoints, while avoiding it for one heartbeat costs little.
-    fn apply_start_time(&mut self, member: &Member, now: Millis, listed: &mut ListOutcome) -> bool {
+    fn apply_start_time(
+        &mut self,
+        member: &Member,
+        now: Millis,
+        outcome: &mut ListOutcome,
+    ) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&member.instance) else { return true };
         match endpoint.incarnation.update(member.started, now) {
             IncarnationChange::Same => {}
             IncarnationChange::New => {
                 endpoint.reset_for_restart(now);
-                listed.restarted.push(member.instance.clone());
+                outcome.restarted.push(member.instance.clone());
             }
             IncarnationChange::Older => {
                 let since = endpoint.deferred.as_ref().map_or(now, |(_, since)| *since);
                 if member.leaving && endpoint.fresh_side(now).is_none() {
-                    listed.usable_changed |= !endpoint.member.leaving;
+                    outcome.usable_changed |= !endpoint.member.leaving;
                     endpoint.member.leaving = true;
                 }
                 endpoint.deferred = Some((member.clone(), since));
-                listed.deferred.push(member.instance.clone());
+                outcome.deferred.push(member.instance.clone());
                 return false;
             }
         }
@@ -258,14 +263,14 @@
         names: &mut Interner<ModelKey>,
         now: Millis,
     ) -> ListOutcome {
-        let mut listed = ListOutcome::default();
+        let mut outcome = ListOutcome::default();
         let settled = self.endpoints.values_mut().filter_map(|endpoint| {
             endpoint.deferred.take_if(|(_, since)| now.since(*since) >= OLDER_START_DELAY_MS)
         });
         for (member, _) in settled.collect::<Vec<_>>() {
-            self.upsert(member, true, names, now, &mut listed);
+            self.upsert(member, true, names, now, &mut outcome);
         }
-        listed
+        outcome
     }
 
     /// Returns the endpoint that was last listed at `address`.
@@ -338,13 +343,13 @@
     /// service of the previous one. A report from a side of another service at the same address
     /// concerns neither.
     fn supersede(&mut self, address: SocketAddr, state: &SideState, now: Millis) -> Option<String> {
-        let held = self.by_address.get(&address)?.clone();
-        let service = &self.endpoints.get(&held)?.member.service;
+        let previous = self.by_address.get(&address)?.clone();
+        let service = &self.endpoints.get(&previous)?.member.service;
         let valid = state.healthy && !state.instance.is_empty() && *service == state.service;
-        if !valid || held == state.instance {
+        if !valid || previous == state.instance {
             return None;
         }
-        let mut member = self.endpoints.remove(&held)?.member;
+        let mut member = self.endpoints.remove(&previous)?.member;
         member.instance.clone_from(&state.instance);
         member.leaving = false;
         let endpoint = self
@@ -354,7 +359,7 @@
         endpoint.member.address = address;
         self.by_address.insert(address, state.instance.clone());
         self.ended.remove(&state.instance);
-        self.ended.insert(held.clone());
-        Some(held)
+        self.ended.insert(previous.clone());
+        Some(previous)
     }
 }
--- a/crates/pool/src/side/incarnation_name.rs
+++ b/crates/pool/src/side/incarnation_name.rs
@@ -2,7 +2,7 @@
 
 use citronrill_base::Millis;
 
-/// Milliseconds before an endpoint that did not report its name is asked again: the request may
+/// Milliseconds before an endpoint that did not report its name is asked again: the query may
 /// wait for a slot.
 const QUERY_RETRY_MS: u64 = 250;
 /// Milliseconds after a restart for which no load request is accepted while the name is unknown. An
@@ -34,7 +34,7 @@
     }
 
     /// Returns the name, if it is known.
-    pub(super) fn known(&self) -> Option<&str> {
+    pub(super) fn name(&self) -> Option<&str> {
         self.name.as_deref()
     }
 
@@ -42,12 +42,12 @@
     pub(super) fn set(&mut self, name: &str) -> bool {
         self.query_due = false;
         self.restarted_at = None;
-        let new = self.known() != Some(name);
+        let new = self.name() != Some(name);
         self.name = Some(name.to_owned());
         new
     }
 
-    /// Asks again because the endpoint did not answer and may have restarted.
+    /// Has the endpoint asked again, because it did not answer a poll and may have restarted.
     pub(super) fn query_again(&mut self) {
         self.query_due = true;
     }
--- a/crates/pool/src/side/mod.rs
+++ b/crates/pool/src/side/mod.rs
@@ -271,7 +271,7 @@
         }
         ended.into_iter().for_each(|event| self.log(event));
         if let (Some(issued), None) = (from_store, &self.model_order) {
-            self.store_slowdown = self.slowness(&issued);
+            self.store_slowdown = self.slowdown(&issued);
             self.store_concurrent = issued.concurrent;
         }
         let Some(report) = &self.report else { return };
@@ -419,7 +419,7 @@
             store_loads: self.store_loads(report),
             store_slowdown: self.store_slowdown,
             config_version: self.config_version(),
-            instance: self.incarnation_name.known().unwrap_or_default().to_owned(),
+            instance: self.incarnation_name.name().unwrap_or_default().to_owned(),
             service: self.service.clone(),
             started: self.incarnation.start_time().map(|start| start.0),
             missed: self.misses.rates(self.now),
@@ -454,13 +454,13 @@
         let Some(issued) = self.model_order.as_ref().filter(|issued| issued.from_store) else {
             return 0;
         };
-        let slow = self.slowness(issued);
+        let slow = self.slowdown(issued);
         if slow < LATE_LOAD_MILLI { 0 } else { slow - slow % OVERDUE_STEP }
     }
 
     /// Returns the duration so far of a load from the weight store, in thousandths of its usual
     /// time.
-    fn slowness(&self, issued: &IssuedOrder) -> u32 {
+    fn slowdown(&self, issued: &IssuedOrder) -> u32 {
         let spec = self.engine().and_then(|engine| engine.model(&issued.order.model));
         let usual = spec.map_or(1, |spec| spec.store_ms.max(1));
         (self.now.since(issued.at) * 1_000 / usual) as u32
--- a/crates/pool/src/side/orders.rs
+++ b/crates/pool/src/side/orders.rs
@@ -11,10 +11,11 @@
 };
 use crate::{config::EngineSpec, member::full_name};
 
-/// Milliseconds between publishing an eviction and unloading the model: entries receive it and stop
-/// dispatching, otherwise requests in flight to the endpoint would be refused there.
+/// Milliseconds between publishing an eviction and unloading the model. In this time, entries stop
+/// dispatching requests for it; otherwise requests in flight would be refused at the endpoint.
 const EVICTION_NOTICE_MS: u64 = 12;
-/// Milliseconds for which an adapter is kept after its last use: its request must have begun.
+/// Milliseconds for which an adapter is kept after its last use, so that the request that uses it
+/// has begun.
 const MIN_ADAPTER_RESIDENCY_MS: u64 = 150;
 /// Milliseconds after which an order without an answer is sent again. It cannot take effect twice,
 /// because both carry the same expected sequence.
--- a/crates/pool/src/side/plan.rs
+++ b/crates/pool/src/side/plan.rs
@@ -23,14 +23,14 @@
         let same = |planned: &&mut PlannedLoad| {
             planned.request.model == request.model && planned.request.adapter == request.adapter
         };
-        if let Some(known) = self.plan.iter_mut().find(same) {
-            known.deadline = known.deadline.max(deadline);
+        if let Some(planned) = self.plan.iter_mut().find(same) {
+            planned.deadline = planned.deadline.max(deadline);
             return;
         }
         let candidates = request.eviction_candidates.clone();
-        let known = self.incarnation.start_time().map(|start| start.0);
+        let current = self.incarnation.start_time().map(|start| start.0);
         let other_incarnation =
-            request.started.zip(known).is_some_and(|(requested, known)| requested != known);
+            request.started.zip(current).is_some_and(|(requested, current)| requested != current);
         let not_current =
             other_incarnation || !self.incarnation_name.is_current(&request.instance, self.now);
         let evictions = if not_current {
--- a/crates/pool/src/side/types.rs
+++ b/crates/pool/src/side/types.rs
@@ -24,7 +24,7 @@
     pub active: u32,
     /// Queued requests.
     pub queued: u32,
-    /// Memory for prompts in use, in thousandths.
+    /// Share of the KV cache in use, in thousandths.
     pub kv_used_milli: u32,
     /// Models with cached weights in the instance's memory.
     pub in_memory: Vec<String>,
--- a/crates/pool/tests/all/incarnation.rs
+++ b/crates/pool/tests/all/incarnation.rs
@@ -135,8 +135,8 @@
 }
 
 /// A side restarts next to an endpoint that has restarted under its name. The order count has
-/// fallen, but fencing tokens must not: the endpoint tells incarnations apart by nothing
-/// else.
+/// fallen, but fencing tokens must not: only they distinguish orders for the new incarnation from
+/// late ones for the previous one.
 #[test]
 fn tokens_increase_across_restarts_of_side_and_endpoint() {
     let mut first = side_of(FIRST, 41);
--- a/crates/pool/tests/all/preload.rs
+++ b/crates/pool/tests/all/preload.rs
@@ -27,8 +27,8 @@
     bench.step(EntryEvent::Members(MemberChange { complete: false, version, rows }))
 }
 
-/// Six endpoints: `m0` is loaded at one to three, `m1` at four and five, and the sixth is empty.
-/// `m1` receives one request in three seconds.
+/// Six endpoints: `m0` is loaded at endpoints 1 to 3, `m1` at 4 and 5, and endpoint 6 is empty. Each
+/// model receives one request in 1.5 s.
 fn pool() -> Bench {
     let held = |index: u8| if index < 4 { "m0" } else { "m1" };
     let mut members = (1..6).map(|index| bare(index, &[held(index)])).collect::<Vec<_>>();
--- a/crates/pool/tests/all/side.rs
+++ b/crates/pool/tests/all/side.rs
@@ -294,9 +294,9 @@
     assert_eq!(orders(&bench.request_load(current))[0].instance, "i2");
 }
 
-/// An endpoint that crashes before its first order does not restart with a lower sequence. After a
-/// time without answers the side asks for its name again and uses the known name until it gets a
-/// reply.
+/// An endpoint crashes before its first order, so that its sequence does not fall at the restart.
+/// After a time without answers the side asks for its name again, and uses the known name until it
+/// gets a reply.
 #[test]
 fn endpoint_that_was_unreachable_is_asked_for_its_name() {
     let mut bench = Bench::new(&["m0"]);
--- a/crates/pool/tests/all/stalls.rs
+++ b/crates/pool/tests/all/stalls.rs
@@ -141,8 +141,8 @@
     assert!(!effects.contains(&EntryEffect::Disconnect(id)), "{effects:?}");
 }
 
-/// A run that may happen only once resumed from its copy while its endpoint was stalled: when the
-/// endpoint responded again, two engines worked on it.
+/// A stream that may run only once was resumed from its copy while its endpoint was stalled. When
+/// that endpoint responded again, two engines worked on the same run.
 #[rstest]
 #[case::without_a_copy(false)]
 #[case::with_a_copy(true)]
--- a/crates/pool/tests/all/waiting.rs
+++ b/crates/pool/tests/all/waiting.rs
@@ -21,7 +21,7 @@
     Arc::new(config)
 }
 
-/// An entry with twenty engines, of which the second is loading `m5` for another `coming_ms`. The
+/// An entry with twenty engines, of which the second is loading `m5` for another `load_ms`. The
 /// weight store has capacity for one more load.
 fn bench(load_ms: u64) -> Bench {
     let mut bench = Bench::unconfigured();
@@ -43,8 +43,8 @@
 }
 
 /// A caller has a deadline of fifteen seconds but leaves a stream after a silence of 3.2 s. Its
-/// model takes four seconds to load. The request was held until the caller left; it must be refused
-/// at once with a retry time at which the model is ready.
+/// model is ready only in four or six seconds. The request was held until the caller left; it must
+/// be refused at once with a retry time at which the model is ready.
 #[rstest]
 #[case(4_000)]
 #[case(6_000)]
