--- a/crates/decide/src/call.rs
+++ b/crates/decide/src/call.rs
@@ -76,7 +76,7 @@
 
     /// Returns the code used in messages between processes.
     pub fn code(self) -> u32 {
-        Self::ALL.iter().position(|it| *it == self).unwrap_or(0) as u32
+        Self::ALL.iter().position(|reason| *reason == self).unwrap_or(0) as u32
     }
 
     /// Returns the reason for a code; `None` for a code of a later release.
--- a/crates/decide/src/entry/cleanup.rs
+++ b/crates/decide/src/entry/cleanup.rs
@@ -16,8 +16,8 @@
 ///
 /// The list lags: it may not contain an instance that has just started.
 const ABSENT_MS: u64 = 15_000;
-/// Ledgers cleaned up at once: the loss of a zone must not send all cleanups to the platform table
-/// in one burst.
+/// Number of ledgers cleaned up at once: the loss of a zone must not send all cleanups to the
+/// platform table in one burst.
 const CLEANUP_BATCH: usize = 2;
 
 impl Entry {
@@ -39,7 +39,8 @@
         self.update_members();
     }
 
-    /// Clears an instance's absence when a new side process has taken over its endpoint.
+    /// Clears an instance's absence and its endpoint's failures when a new side process has taken
+    /// over the endpoint.
     ///
     /// The list lags: a returned instance may be in use before the list contains it again. Its
     /// earlier absence does not concern the new process's replicas.
@@ -113,19 +114,19 @@
         let mut shares = BTreeMap::new();
         for replica in &row.replicas {
             let model = self.view.registry.models.intern(&replica.model);
-            let held = self.view.model(model);
-            let mut model_row = held.row.unwrap_or_default();
+            let versioned = self.view.model(model);
+            let mut model_row = versioned.row.unwrap_or_default();
             model_row.holders.retain(|holder| *holder != name);
-            txn.put(model_key(&replica.model), held.version, Some(model_row.encode_to_vec()));
+            txn.put(model_key(&replica.model), versioned.version, Some(model_row.encode_to_vec()));
             let share = (replica.org.clone(), replica.share_part);
             *shares.entry(share).or_insert(0) += replica.memory_mb;
         }
         for ((org, part), freed) in shares {
             let org_key = self.view.registry.organisations.intern(&org);
-            let held = self.view.share(org_key, part);
-            let mut share = held.row.unwrap_or_default();
+            let versioned = self.view.share(org_key, part);
+            let mut share = versioned.row.unwrap_or_default();
             share.used_mb = share.used_mb.saturating_sub(freed);
-            txn.put(share_key(&org, part), held.version, Some(share.encode_to_vec()));
+            txn.put(share_key(&org, part), versioned.version, Some(share.encode_to_vec()));
         }
         let mut permits_row = self.view.permits_row.row.clone().unwrap_or_default();
         let before = permits_row.permits.len() + permits_row.waiters.len();
--- a/crates/decide/src/entry/config.rs
+++ b/crates/decide/src/entry/config.rs
@@ -63,11 +63,11 @@
 
     fn fetch_missing(&mut self, out: &mut Vec<Effect>) {
         let Some(head) = &self.config.head else { return };
-        let known = self.catalogue.version.max(self.config.rejected);
+        let processed = self.catalogue.version.max(self.config.rejected);
         let fetching = self.config.fetching.is_some_and(|(version, since)| {
             version == head.version && self.now.since(since) < FETCH_TIMEOUT_MS
         });
-        if head.version > known && !fetching {
+        if head.version > processed && !fetching {
             self.config.fetching = Some((head.version, self.now));
             out.push(Effect::FetchConfig(head.clone()));
         }
--- a/crates/decide/src/entry/coordinator.rs
+++ b/crates/decide/src/entry/coordinator.rs
@@ -20,13 +20,14 @@
 
 /// Time that a coordinator has to act on a demand before the next one is asked, in milliseconds.
 const COORDINATOR_TIMEOUT_MS: u64 = 400;
-/// Coordinators that are asked before the entry decides for itself.
+/// Number of coordinators that are asked before the entry decides for itself.
 const COORDINATOR_ATTEMPTS: usize = 2;
 /// An overload of the ready replicas that lasts this long adds a replica, in milliseconds.
 const SCALE_OUT_MS: u64 = 500;
 /// A replica counts as overloaded when as many requests wait as its slots divided by this.
 const OVERLOAD_DIVISOR: u64 = 2;
-/// The use of a warm model is reported again after its keep time divided by this.
+/// The use of a warm model is reported again after its keep time divided by this, between
+/// the two limits below.
 const REPORT_DIVISOR: u64 = 2;
 pub(super) const REPORT_MIN_MS: u64 = 1_000;
 const REPORT_MAX_MS: u64 = 30_000;
@@ -91,7 +92,7 @@
 }
 
 impl Entry {
-    /// Reports demand for a model that has queued requests, unless a replica is being loaded.
+    /// Reports demand for a model, unless a replica is being loaded.
     pub(super) fn request_replica(
         &mut self,
         model: ModelKey,
@@ -202,10 +203,10 @@
         coordination.traffic.last = now;
         let deadline = now + demand.slack_ms;
         let merged = match coordination.demand {
-            Some(known) => PendingDemand {
-                deadline: known.deadline.min(deadline),
-                class: known.class.min(demand.class),
-                waiting: known.waiting + demand.waiting,
+            Some(pending) => PendingDemand {
+                deadline: pending.deadline.min(deadline),
+                class: pending.class.min(demand.class),
+                waiting: pending.waiting + demand.waiting,
             },
             None => PendingDemand { deadline, class: demand.class, waiting: demand.waiting },
         };
@@ -223,7 +224,7 @@
     /// Handles a coordinator's acknowledgement: the next coordinator is not asked for a while.
     ///
     /// In a large burst a decision may meet several conflicts. If the waiting entries decided as
-    /// well, there would be more of them.
+    /// well, there would be even more conflicts.
     pub(super) fn demand_acknowledged(&mut self, model: &str) {
         let Some(model) = self.view.registry.models.get(model) else { return };
         let until = self.now + ACK_HOLD_MS;
@@ -326,7 +327,8 @@
 
     fn try_load(&mut self, request: &ReplicaRequest, out: &mut Vec<Effect>) {
         let busy = self.pending_txns.values().filter_map(|pending| pending.endpoint).collect();
-        // Constant until a conflict, so that the plan needs the rows that were read for it.
+        // The tie breaker is constant until a conflict, so that the plan made after the read
+        // selects the same endpoint and needs only the rows that were read.
         let conflicts =
             self.coordinations.get(&request.model).map_or(0, |coordination| coordination.conflicts);
         let name =
@@ -441,8 +443,9 @@
             }
         }
         if outcome == Outcome::Conflict {
-            // The rows that are read back show whether another decision won. The next attempt takes
-            // no permit along, because all decisions of a burst write the permit row.
+            // The rows that are read back show whether another decision won. The next attempt
+            // leaves the permit to the side, because all decisions of a burst would write the
+            // permit row.
             let random = self.random();
             let now = self.now;
             let coordination = self.coordination(model);
@@ -517,7 +520,8 @@
         self.dispatch(Target::Model(model), out);
     }
 
-    /// Drops models that another member coordinates now, and takes over those of this process.
+    /// Drops models that another member coordinates now, unless they have pending demand, and takes
+    /// over the models with replicas that this process coordinates now.
     pub(super) fn review_coordinations(&mut self) {
         let kept = self
             .coordinations
@@ -544,14 +548,15 @@
         self.cooldown(model).is_some() || base.is_some_and(|base| self.cooldown(base).is_some())
     }
 
-    /// Starts a cooldown after a failed load and refuses the requests that wait for the model.
-    /// Otherwise every entry would report its demand again at once, and the load would fail again.
+    /// Starts a cooldown after a failed load and, if no replica is ready, refuses the requests that
+    /// wait for the model. Otherwise every entry would report its demand again at once, and the
+    /// load would fail again.
     pub(super) fn update_cooldown(&mut self, model: ModelKey, out: &mut Vec<Effect>) {
         let failures = self.view.model_row(model).map_or(0, |row| row.failures);
-        let known = self.cooldowns.get(&model).map_or(0, |(failures, _)| *failures);
+        let previous = self.cooldowns.get(&model).map_or(0, |(failures, _)| *failures);
         if failures == 0 {
             self.cooldowns.remove(&model);
-        } else if failures != known {
+        } else if failures != previous {
             let pause = (FAILURE_BACKOFF_MS << (failures - 1).min(10)).min(FAILURE_BACKOFF_MAX_MS);
             self.cooldowns.insert(model, (failures, self.now + pause));
             if self.view.replicas(model).all(|(_, phase)| phase != Phase::Ready) {
--- a/crates/decide/src/entry/mod.rs
+++ b/crates/decide/src/entry/mod.rs
@@ -58,7 +58,8 @@
     Waiting,
     /// An attempt is in flight.
     Sent { endpoint: EndpointKey, call: u64, response_started: bool },
-    /// It was cancelled at its deadline; the side may report whether it ran before `until`.
+    /// It was cancelled at its deadline; the side's report whether it ran is awaited until the
+    /// time `until`.
     Cancelling { endpoint: EndpointKey, call: u64, response_started: bool, until: Millis },
 }
 
@@ -83,7 +84,7 @@
 #[derive(Debug, Clone, Default)]
 struct EndpointHealth {
     in_flight: u32,
-    reported: u32,
+    reported_load: u32,
     reported_at: Millis,
     suspect_until: Millis,
     failures: u32,
@@ -313,7 +314,8 @@
         self.resume_after_read(rows, out);
     }
 
-    /// Applies committed rows that may be ahead of other rows that are not known yet.
+    /// Applies committed rows that were received ahead of the feed; earlier rows may still be
+    /// missing.
     fn apply_announced_rows(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
         self.feed.add_rows(rows);
         self.apply_rows(rows, out);
@@ -363,14 +365,15 @@
             zone: row.zone.clone(),
         });
         let members = members.collect::<Vec<_>>();
-        // The review computes a hash per member and warm model; the member list is read every 2 s.
+        // The review computes a hash per member and warm model. The instance list is read every
+        // 2 s, so unchanged members must not cause a review.
         if members != self.members {
             self.members = members;
             self.review_coordinations();
         }
     }
 
-    /// Writes the own member row once the platform table answers.
+    /// Writes this process's member row once the platform table answers.
     fn register(&mut self, out: &mut Vec<Effect>) {
         let own = self.view.member(&self.profile.instance);
         let current = own.row.as_ref().is_some_and(|row| row.session == self.profile.session);
@@ -500,7 +503,8 @@
         }
     }
 
-    /// Deletes the own member row after the last request is answered, then reports the drain.
+    /// Deletes this process's member row after the last request is answered, and reports that the
+    /// drain is complete.
     fn finish_drain(&mut self, out: &mut Vec<Effect>) {
         if !self.draining || self.drained || !self.requests.is_empty() {
             return;
--- a/crates/decide/src/entry/queue.rs
+++ b/crates/decide/src/entry/queue.rs
@@ -46,7 +46,7 @@
     }
 
     /// The earliest deadline and the most urgent class in the queue.
-    pub(crate) fn pressure(&self) -> Option<(Millis, Class)> {
+    pub(crate) fn most_urgent(&self) -> Option<(Millis, Class)> {
         let (deadline, _, _) = self.by_deadline.first()?;
         let (class, _, _) = self.by_class.first()?;
         Some((*deadline, *class))
--- a/crates/decide/src/entry/requests.rs
+++ b/crates/decide/src/entry/requests.rs
@@ -147,7 +147,8 @@
         let total = self.requests.len();
         let own = self.org_requests.get(&org).copied().unwrap_or(0);
         let orgs = self.catalogue.organisations.len().max(1);
-        // When the process is at least half full, no organisation may exceed its equal part.
+        // When the process is at least half full, no organisation may exceed its equal part of
+        // the limit.
         if total >= limit || (total >= limit / 2 && own >= limit / orgs) {
             return Err(Refusal::not_run(RefusalKind::Overloaded).retry_in(LOAD_RETRY_MS));
         }
@@ -158,8 +159,8 @@
         Ok(())
     }
 
-    /// Refuses a request that cannot be served before its deadline. The load is requested all the
-    /// same, so that the model is warm when the caller retries.
+    /// Refuses a request that cannot be served before its deadline. If no replica is ready, a
+    /// load is requested all the same, so that the model is warm when the caller retries.
     fn check_deadline(
         &mut self,
         model: ModelKey,
@@ -248,7 +249,7 @@
             self.send(id, candidates[index].endpoint, out);
         }
         if let (Target::Model(model), Some(queue)) = (target, self.queues.get(&target))
-            && let Some((deadline, class)) = queue.pressure()
+            && let Some((deadline, class)) = queue.most_urgent()
         {
             self.request_replica(model, deadline, class, out);
         }
@@ -303,7 +304,7 @@
         Some(Candidate {
             endpoint,
             own_requests: health.in_flight,
-            reported_requests: health.reported.saturating_sub(health.in_flight),
+            reported_requests: health.reported_load.saturating_sub(health.in_flight),
             age_ms: self.now.since(health.reported_at),
             slots: row.slots as u32,
             same_zone: row.zone == self.profile.zone,
@@ -381,7 +382,7 @@
     fn report_load(&mut self, endpoint: EndpointKey, load: u32) {
         let now = self.now;
         let health = self.health_mut(endpoint);
-        health.reported = load;
+        health.reported_load = load;
         health.reported_at = now;
     }
 
@@ -536,8 +537,8 @@
     /// Suspends routing to an endpoint, with exponential backoff.
     ///
     /// All calls in flight to a side are lost together when it ends, and count as one failure. When
-    /// each counted, six lost calls doubled the backoff six times, and callers of the next side
-    /// process waited for 13 s.
+    /// each lost call counted, six of them doubled the backoff six times, and callers of the next
+    /// side process waited for 13 s.
     pub(super) fn suspect(&mut self, endpoint: EndpointKey) {
         let now = self.now;
         let health = self.health_mut(endpoint);
@@ -642,8 +643,8 @@
     }
 }
 
-/// Identifies the side process that owns an endpoint. The epoch alone is not unique: it restarts
-/// after the row of a gone instance was removed.
+/// Identifies the side process that owns an endpoint. The epoch alone is not enough: it would
+/// restart if the table lost the version of a removed row.
 fn owner(row: &EndpointRow) -> u64 {
     hash_bytes(format!("{}/{}", row.epoch, row.address).as_bytes())
 }
--- a/crates/decide/src/entry/state.rs
+++ b/crates/decide/src/entry/state.rs
@@ -11,7 +11,8 @@
         self.catalogue.version
     }
 
-    /// Whether the platform table has confirmed the known state, and not only a peer.
+    /// Whether rows have been applied since the start while the platform table counted as up.
+    /// Otherwise the known state may come only from peers during an outage.
     pub fn confirmed(&self) -> bool {
         self.config.confirmed
     }
--- a/crates/decide/src/entry/types.rs
+++ b/crates/decide/src/entry/types.rs
@@ -139,8 +139,8 @@
     NotSent(RequestId, u64),
     /// The call was sent, and its outcome cannot be determined.
     ConnectionLost(RequestId, u64),
-    /// The attempt failed, and the request body was consumed, so that it cannot be sent again; with
-    /// whether the call ran.
+    /// The attempt failed after the request body was consumed, so the request cannot be sent
+    /// again. The last field says whether the call ran.
     BodyConsumed(RequestId, u64, Ran),
     /// A side's reply to a cancellation.
     CancelAnswered(RequestId, u64, CancelAnswer),
@@ -250,7 +250,8 @@
         /// The reason.
         kind: RefusalKind,
     },
-    /// Notify a side that its row has changed, and which entry awaits its reply.
+    /// Notify a side that its row has changed, so that it reads the row and sends new versions
+    /// of it to this entry.
     NotifySide {
         /// The endpoint.
         endpoint: EndpointKey,
--- a/crates/decide/src/entry/unload.rs
+++ b/crates/decide/src/entry/unload.rs
@@ -23,26 +23,27 @@
     /// Unloads another replica of an organisation whose share is used up, to make room for `model`.
     /// Returns whether such a replica is being unloaded or can be.
     ///
-    /// The side refuses to unload a model that was used recently, so a wrong choice costs a write.
+    /// The side refuses to unload a model that was used recently, so a wrong choice costs only a
+    /// write.
     pub(super) fn unload_for_share(&mut self, model: ModelKey, out: &mut Vec<Effect>) -> bool {
         let Some(spec) = self.catalogue.models.get(&model) else { return false };
         let (org, base) = (spec.org, spec.base);
         let org_name = self.view.registry.organisations.name(org);
-        let (mut leaving, mut candidates) = (false, Vec::new());
+        let (mut unloading, mut candidates) = (false, Vec::new());
         for (key, row) in self.view.endpoints() {
             for replica in row.replicas.iter().filter(|replica| replica.org == *org_name) {
                 let other = self.view.registry.models.get(&replica.model);
                 let needed = other.is_none_or(|other| other == model || Some(other) == base);
                 match replica.phase() {
-                    Phase::Unloading => leaving = true,
+                    Phase::Unloading => unloading = true,
                     Phase::Ready if !needed => candidates.extend(other.map(|other| (key, other))),
                     Phase::Ready | Phase::Wanted | Phase::Loading => {}
                 }
             }
         }
         let now = self.now;
-        if leaving || now.since(self.coordination(model).last_unload) < SHARE_UNLOAD_INTERVAL_MS {
-            return leaving || !candidates.is_empty();
+        if unloading || now.since(self.coordination(model).last_unload) < SHARE_UNLOAD_INTERVAL_MS {
+            return unloading || !candidates.is_empty();
         }
         let last_use =
             |candidate: &(EndpointKey, ModelKey)| self.use_reports.get(&candidate.1).copied();
@@ -54,8 +55,8 @@
         true
     }
 
-    /// Unloads replicas that were idle for their keep time, and preloads models for a new part of
-    /// the day.
+    /// Preloads models for a new part of the day, decides pending loads and unloads replicas that
+    /// were idle for their keep time.
     pub(super) fn maintain_models(&mut self, minute: u16, out: &mut Vec<Effect>) {
         self.close_slot(minute, out);
         if !self.store_up {
@@ -124,8 +125,8 @@
         if idle >= keep {
             return self.unload_next(model, &ready, keep, out);
         }
-        let calm_ms = self.now.since(self.coordinations[&model].last_overload);
-        if ready.len() > 1 && calm_ms >= keep {
+        let since_overload = self.now.since(self.coordinations[&model].last_overload);
+        if ready.len() > 1 && since_overload >= keep {
             self.coordination(model).last_overload = self.now;
             self.unload(model, ready[0], "calm", out);
         }
@@ -189,7 +190,8 @@
         rows.map(|row: ShareRow| row.used_mb).sum()
     }
 
-    /// Marks a replica for unloading, and stores the learned traffic in the model's row.
+    /// Marks a replica and its adapters for unloading, and stores the learned traffic in the
+    /// model's row.
     pub(super) fn unload(
         &mut self,
         model: ModelKey,
@@ -218,10 +220,10 @@
         let version = self.view.endpoint_version(endpoint);
         txn.put(endpoint_key(&endpoint_name), version, Some(next.encode_to_vec()));
         if let Some(coordination) = self.coordinations.get(&model) {
-            let held = self.view.model(model);
-            let mut row = held.row.unwrap_or_default();
+            let versioned = self.view.model(model);
+            let mut row = versioned.row.unwrap_or_default();
             coordination.traffic.stats.to_row(&mut row);
-            txn.put(model_key(&name), held.version, Some(row.encode_to_vec()));
+            txn.put(model_key(&name), versioned.version, Some(row.encode_to_vec()));
         }
         let event = LogEvent::new("unload").with("model", name).with("endpoint", endpoint_name);
         out.push(Effect::Log(event.with("why", why)));
--- a/crates/decide/src/feed.rs
+++ b/crates/decide/src/feed.rs
@@ -149,7 +149,7 @@
         let sources = self.sources(peers);
         if self.fallback >= sources.len() {
             // All sources failed: start over at the table, which may be available again.
-            self.fallback = sources.iter().position(|it| *it == Source::Table).unwrap_or(0);
+            self.fallback = sources.iter().position(|source| *source == Source::Table).unwrap_or(0);
         }
         let position = self.fallback;
         let source = sources[position].clone();
@@ -211,7 +211,9 @@
 
     /// Applies a source's answer, `None` if the request failed, and returns the rows that are new.
     pub fn apply_answer(&mut self, now: Millis, id: u64, page: Option<Page>) -> Vec<Row> {
-        let Some(pending) = self.pending.take_if(|it| it.id == id) else { return Vec::new() };
+        let Some(pending) = self.pending.take_if(|pending| pending.id == id) else {
+            return Vec::new();
+        };
         let Some(page) = page else {
             self.request_failed(now);
             return Vec::new();
@@ -239,11 +241,11 @@
     fn insert_rows(&mut self, rows: Vec<Row>, sequence: u64) -> Vec<Row> {
         let mut new = Vec::new();
         for row in rows {
-            let known = self.versions.entry(row.key.clone()).or_default();
-            if row.version <= *known {
+            let latest = self.versions.entry(row.key.clone()).or_default();
+            if row.version <= *latest {
                 continue;
             }
-            let old = std::mem::replace(known, row.version);
+            let old = std::mem::replace(latest, row.version);
             if let Some(rows) = self.changes.get_mut(&old) {
                 rows.retain(|other| other.key != row.key);
                 if rows.is_empty() {
--- a/crates/decide/src/keepalive.rs
+++ b/crates/decide/src/keepalive.rs
@@ -183,7 +183,8 @@
     pub last: Millis,
     /// Whether a request was reported in the current time slot.
     pub active: bool,
-    /// Whether `last` is the time of a request, and not of the start as the coordinator.
+    /// Whether this coordinator has received a report of use; the first one records no gap, since
+    /// the time of the request before it is not known.
     pub request_seen: bool,
 }
 
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -189,7 +189,7 @@
     let Some(base) = model.base else { return };
     let with_base = options.iter().any(|place| place.models.len() == 1);
     let decided = input.view.model_row(base).map_or(0, |row| row.holders.len() as u64);
-    let limit = input.catalogue.models.get(&base).map_or(0, |it| it.replicas);
+    let limit = input.catalogue.models.get(&base).map_or(0, |model| model.replicas);
     if with_base || decided >= limit {
         options.retain(|place| place.models.len() == 1);
     }
@@ -286,7 +286,7 @@
 
 impl OrgShare {
     fn read(input: &PlacementInput<'_>, org: OrgKey) -> OrgShare {
-        let share = input.catalogue.organisations.get(&org).map_or(0, |it| it.share_mb);
+        let share = input.catalogue.organisations.get(&org).map_or(0, |org| org.share_mb);
         let parts = (0..input.share_parts).map(|part| input.view.share(org, part)).collect();
         OrgShare { limit: share / u64::from(input.share_parts.max(1)), parts }
     }
--- a/crates/decide/src/refusal.rs
+++ b/crates/decide/src/refusal.rs
@@ -35,8 +35,8 @@
     ShareUsed,
     /// No endpoint has room.
     PoolFull,
-    /// The model is not loaded, and loads cannot be decided while the platform table is
-    /// unavailable.
+    /// The platform table is unavailable, so the load of the model cannot be decided or the call
+    /// cannot be claimed.
     StoreDown,
     /// The model could not be loaded.
     LoadFailed,
--- a/crates/decide/src/routing.rs
+++ b/crates/decide/src/routing.rs
@@ -9,8 +9,9 @@
 /// A replica in another zone is preferred only if the load of the nearer one, as a fraction of its
 /// slots, is higher by more than this.
 const ZONE_MARGIN: f64 = 0.5;
-/// The replica that has a prompt's prefix cached is passed over if its load, as a fraction of its
-/// slots, is higher by more than this.
+/// The replica to which a prompt's prefix hashes, which probably has the prefix cached, is passed
+/// over if its cost is higher than that of the alternative by more than this. The cost is the load
+/// as a fraction of the slots, plus [`ZONE_MARGIN`] in another zone.
 const PREFIX_MARGIN: f64 = 0.25;
 
 /// A replica that can serve a request.
@@ -51,8 +52,8 @@
     fn pick(&self, candidates: &[Candidate], rng: &mut SmallRng) -> Option<usize>;
 }
 
-/// Selects the better of two random candidates, unless the one that has the prompt's prefix cached
-/// costs little more.
+/// Selects the better of two random candidates, unless the replica to which the prompt's prefix
+/// hashes costs little more: it probably has the prefix cached.
 ///
 /// Reports lag: if every entry selected the least loaded replica, all of them would overload the
 /// one that was recently idle. Two random choices spread the load; an entry's own requests are
@@ -71,14 +72,12 @@
         let better =
             |a: usize, b: usize| if candidates[b].cost() < candidates[a].cost() { b } else { a };
         let pick = better(first, second);
-        let cached = (0..candidates.len())
+        let by_prefix = (0..candidates.len())
             .filter(|index| candidates[*index].affinity != 0)
             .max_by_key(|index| candidates[*index].affinity);
-        match cached {
-            Some(cached)
-                if candidates[cached].cost() <= candidates[pick].cost() + PREFIX_MARGIN =>
-            {
-                Some(cached)
+        match by_prefix {
+            Some(index) if candidates[index].cost() <= candidates[pick].cost() + PREFIX_MARGIN => {
+                Some(index)
             }
             _ => Some(pick),
         }
--- a/crates/decide/src/rows.rs
+++ b/crates/decide/src/rows.rs
@@ -217,7 +217,7 @@
     /// Rank; the smallest goes first.
     #[prost(uint64, tag = "3")]
     pub urgency: u64,
-    /// Number of loads that took a permit before it.
+    /// Number of loads that have taken a permit while it waited.
     #[prost(uint32, tag = "4")]
     pub passed: u32,
 }
@@ -282,8 +282,8 @@
     /// Headers of removed sections.
     #[prost(string, repeated, tag = "4")]
     pub removed: Vec<String>,
-    /// Whether the row omits the changes, for example because they are too large, so that the object
-    /// must be fetched.
+    /// Whether the row omits the changes, for example because they are too large, so that the
+    /// object must be fetched.
     #[prost(bool, tag = "5")]
     pub content_omitted: bool,
 }
--- a/crates/decide/src/side/ledger.rs
+++ b/crates/decide/src/side/ledger.rs
@@ -84,7 +84,7 @@
         }
         // The row is kept without replicas: its epoch is the engine's fencing number, and an engine
         // that has seen a higher number would refuse a successor that began at 1 again. Entries
-        // remove the row once the instance is no longer in the platform's member list.
+        // remove the row once the instance is no longer in the platform's instance list.
         self.finish(out);
     }
 
@@ -235,7 +235,7 @@
     /// waiting for a permit, or loading.
     fn start_next_load(&mut self, out: &mut Vec<SideEffect>) -> bool {
         let row = self.ledger();
-        let wanted = row.replicas.iter().filter(|it| it.phase() == Phase::Wanted);
+        let wanted = row.replicas.iter().filter(|replica| replica.phase() == Phase::Wanted);
         let mut wanted = wanted.collect::<Vec<_>>();
         for replica in &wanted {
             self.wanted_since.entry(replica.order).or_insert(self.now);
@@ -267,7 +267,7 @@
         out: &mut Vec<SideEffect>,
     ) -> bool {
         let need_mb = row.held_mb() + wanted.peak_mb.max(wanted.memory_mb);
-        let freeing = row.replicas.iter().filter(|it| it.phase() == Phase::Unloading);
+        let freeing = row.replicas.iter().filter(|replica| replica.phase() == Phase::Unloading);
         let freeing = freeing.map(|replica| replica.memory_mb).sum::<u64>();
         let mut missing_mb = need_mb.saturating_sub(freeing).saturating_sub(row.memory_mb);
         let mut evicted = Vec::new();
@@ -284,7 +284,7 @@
         if evicted.is_empty() {
             return false;
         }
-        for replica in row.replicas.iter_mut().filter(|it| evicted.contains(&it.order)) {
+        for replica in row.replicas.iter_mut().filter(|replica| evicted.contains(&replica.order)) {
             replica.phase = Phase::Unloading.into();
             let event = LogEvent::new("evict").with("model", &replica.model);
             out.push(SideEffect::Log(event.with("for", &wanted.model)));
@@ -297,8 +297,8 @@
     /// relative to load time.
     fn idle_replicas(&self, row: &EndpointRow, wanted: &Replica) -> Vec<u64> {
         let mut idle = Vec::new();
-        for replica in row.replicas.iter().filter(|it| it.phase() == Phase::Ready) {
-            let group = row.replicas.iter().filter(|it| it.base == replica.model);
+        for replica in row.replicas.iter().filter(|replica| replica.phase() == Phase::Ready) {
+            let group = row.replicas.iter().filter(|member| member.base == replica.model);
             let mut group = group.chain([replica]);
             let busy = group.any(|member| {
                 let in_transition = !matches!(member.phase(), Phase::Ready | Phase::Unloading);
@@ -318,23 +318,23 @@
     /// Publishes the engine's cached weights to the entries, some time after they have changed.
     fn publish_caches(&mut self, out: &mut Vec<SideEffect>) -> bool {
         let Some(report) = &self.engine else { return false };
-        let known = self.published_cache.as_ref();
-        if known == Some(&report.cached) || (known.is_none() && report.cached.is_empty()) {
+        let published = self.published_cache.as_ref();
+        if published == Some(&report.cached) || (published.is_none() && report.cached.is_empty()) {
             self.cache_changed = None;
             return false;
         }
         let since = *self.cache_changed.get_or_insert(self.now);
-        if known.is_some() && self.now.since(since) < CACHE_PUBLISH_DELAY_MS {
+        if published.is_some() && self.now.since(since) < CACHE_PUBLISH_DELAY_MS {
             return false;
         }
         let key = cache_key(&self.profile.endpoint);
         let row = CacheRow { cached: report.cached.clone() };
-        let Some(held) = self.cached(&key) else {
+        let Some(cached) = self.cached(&key) else {
             self.read(vec![key], out);
             return true;
         };
         let mut txn = Txn::default();
-        txn.put(key, held.version, Some(row.encode_to_vec()));
+        txn.put(key, cached.version, Some(row.encode_to_vec()));
         self.published_cache = Some(row.cached);
         self.commit(txn, out);
         true
@@ -344,10 +344,10 @@
 /// Marks the adapters of a base that is being unloaded for unloading too: an adapter that becomes
 /// ready in the meantime would otherwise keep the base loaded forever.
 fn unload_adapters(row: &mut EndpointRow) {
-    let leaves = |it: &&Replica| it.phase() == Phase::Unloading;
-    let unloading = row.replicas.iter().filter(leaves).map(|it| it.model.clone());
+    let is_unloading = |replica: &&Replica| replica.phase() == Phase::Unloading;
+    let unloading = row.replicas.iter().filter(is_unloading).map(|replica| replica.model.clone());
     let unloading = unloading.collect::<Vec<_>>();
-    for replica in row.replicas.iter_mut().filter(|it| it.phase() == Phase::Ready) {
+    for replica in row.replicas.iter_mut().filter(|replica| replica.phase() == Phase::Ready) {
         if unloading.contains(&replica.base) {
             replica.phase = Phase::Unloading.into();
         }
@@ -356,7 +356,12 @@
 
 /// Returns a replica and, if it is a base, its adapters.
 fn with_adapters(row: &EndpointRow, order: u64) -> impl Iterator<Item = &Replica> {
-    let model = row.replicas.iter().find(|it| it.order == order).map(|it| it.model.as_str());
-    let member = move |it: &&Replica| it.order == order || Some(it.base.as_str()) == model;
+    let model = row
+        .replicas
+        .iter()
+        .find(|replica| replica.order == order)
+        .map(|replica| replica.model.as_str());
+    let member =
+        move |replica: &&Replica| replica.order == order || Some(replica.base.as_str()) == model;
     row.replicas.iter().filter(member)
 }
--- a/crates/decide/src/side/mod.rs
+++ b/crates/decide/src/side/mod.rs
@@ -22,8 +22,8 @@
     view::Versioned,
 };
 
-/// Maximum age, in milliseconds, of the table request that confirmed the epoch when an order is
-/// sent.
+/// An order is sent only if the table confirmed the epoch in reply to a request made at most this
+/// long ago, in milliseconds.
 pub const VERIFY_MS: u64 = 1_500;
 /// Time after which the sender gives up on delivering an order to the engine, in milliseconds.
 pub const ORDER_TRANSIT_MS: u64 = 2_000;
@@ -339,8 +339,8 @@
     }
 
     fn engine_has(&self, model: &str, ready: bool) -> bool {
-        let held = self.engine.iter().flat_map(|report| &report.models);
-        held.filter(|held| held.model == model).any(|held| held.ready || !ready)
+        let models = self.engine.iter().flat_map(|report| &report.models);
+        models.filter(|held| held.model == model).any(|held| held.ready || !ready)
     }
 
     /// Issues the reads that are due, then performs the next possible step.
@@ -405,7 +405,7 @@
         match outcome {
             Outcome::Committed(version) => {
                 let rows = pending.txn.writes.into_iter();
-                let rows = rows.map(|it| Row { key: it.key, version, body: it.body });
+                let rows = rows.map(|write| Row { key: write.key, version, body: write.body });
                 let rows = rows.collect::<Vec<_>>();
                 if self.mode == Mode::Starting {
                     self.claim_confirmed(out);
@@ -426,7 +426,8 @@
     fn subscribe(&mut self, from: String) {
         self.read_requested = true;
         let now = self.now;
-        self.subscribers.retain(|(known, at)| *known != from && now.since(*at) < SUBSCRIPTION_MS);
+        self.subscribers
+            .retain(|(address, at)| *address != from && now.since(*at) < SUBSCRIPTION_MS);
         self.subscribers.push((from, now));
     }
 
--- a/crates/decide/src/side/permits.rs
+++ b/crates/decide/src/side/permits.rs
@@ -37,8 +37,8 @@
         out: &mut Vec<SideEffect>,
     ) -> bool {
         let order = replica.order;
-        for it in row.replicas.iter_mut().filter(|it| it.order == order) {
-            it.phase = Phase::Loading.into();
+        for started in row.replicas.iter_mut().filter(|replica| replica.order == order) {
+            started.phase = Phase::Loading.into();
         }
         if !replica.remote {
             self.write_row(row, out);
@@ -100,7 +100,8 @@
         out: &mut Vec<SideEffect>,
     ) -> bool {
         if permits_row.waiters.iter().any(|waiter| waiter.order == replica.order) {
-            let earlier = permits_row.waiters.iter().filter(|it| it.urgency < replica.urgency);
+            let earlier =
+                permits_row.waiters.iter().filter(|waiter| waiter.urgency < replica.urgency);
             let turns = 1 + earlier.count() as u64 / permits_row.concurrent_loads.max(1);
             if self.now.since(self.last_read) >= (POLL_MS * turns).min(POLL_MAX_MS) {
                 self.read_requested = true;
@@ -130,8 +131,8 @@
         out: &mut Vec<SideEffect>,
     ) -> bool {
         let own = self.profile.endpoint.clone();
-        let others = permits_row.permits.iter().map(|it| &it.endpoint);
-        let others = others.chain(permits_row.waiters.iter().map(|it| &it.endpoint));
+        let others = permits_row.permits.iter().map(|permit| &permit.endpoint);
+        let others = others.chain(permits_row.waiters.iter().map(|waiter| &waiter.endpoint));
         let mut names = others.filter(|name| **name != own).cloned().collect::<Vec<_>>();
         names.sort_unstable();
         names.dedup();
@@ -148,18 +149,19 @@
             let row = if endpoint == own {
                 Some(EndpointRow::clone(&own_row))
             } else {
-                let held = self.cached(&endpoint_key(endpoint));
-                held.and_then(|row| decode::<EndpointRow>(&row.body))
+                let cached = self.cached(&endpoint_key(endpoint));
+                cached.and_then(|row| decode::<EndpointRow>(&row.body))
             };
-            let replica = row.and_then(|row| row.replicas.into_iter().find(|it| it.order == order));
-            replica.is_some_and(|it| match it.phase() {
+            let replica =
+                row.and_then(|row| row.replicas.into_iter().find(|replica| replica.order == order));
+            replica.is_some_and(|replica| match replica.phase() {
                 Phase::Loading => true,
                 Phase::Wanted => !loading,
                 Phase::Ready | Phase::Unloading => false,
             })
         };
-        permits_row.permits.retain(|it| live(&it.endpoint, it.order, true));
-        permits_row.waiters.retain(|it| live(&it.endpoint, it.order, false));
+        permits_row.permits.retain(|permit| live(&permit.endpoint, permit.order, true));
+        permits_row.waiters.retain(|waiter| live(&waiter.endpoint, waiter.order, false));
         if before != (permits_row.permits.len(), permits_row.waiters.len()) {
             for key in &keys {
                 txn.check(key.clone(), self.cache[key].0.version);
@@ -172,12 +174,13 @@
         true
     }
 
-    /// Adds the release of permits that are no longer needed and were held long enough to `txn`.
+    /// Adds to `txn` the release of this endpoint's permits whose load has ended and that were held
+    /// for the minimum time, and the removal of its waiters that are no longer wanted.
     pub(super) fn add_permit_release(&self, next: &EndpointRow, txn: &mut Txn) {
         let own = &self.profile.endpoint;
         let Some(row) = &self.permits_row.row else { return };
-        let permits = row.permits.iter().any(|it| it.endpoint == *own);
-        if !permits && !row.waiters.iter().any(|it| it.endpoint == *own) {
+        let holds_permit = row.permits.iter().any(|permit| permit.endpoint == *own);
+        if !holds_permit && !row.waiters.iter().any(|waiter| waiter.endpoint == *own) {
             return;
         }
         let mut permits_row = row.clone();
@@ -186,13 +189,13 @@
             next.replicas.iter().find(|replica| replica.order == order).map(Replica::phase)
         };
         let hold_ms = permits_row.concurrent_loads * 1000 / permits_row.loads_per_second.max(1);
-        permits_row.permits.retain(|it| {
-            let loading = phase(it.order) == Some(Phase::Loading);
-            it.endpoint != *own || loading || !self.held_for(it.order, hold_ms)
+        permits_row.permits.retain(|permit| {
+            let loading = phase(permit.order) == Some(Phase::Loading);
+            permit.endpoint != *own || loading || !self.held_for(permit.order, hold_ms)
         });
         permits_row
             .waiters
-            .retain(|it| it.endpoint != *own || phase(it.order) == Some(Phase::Wanted));
+            .retain(|waiter| waiter.endpoint != *own || phase(waiter.order) == Some(Phase::Wanted));
         if permits_row.permits.len() + permits_row.waiters.len() != before {
             txn.put(PERMITS, self.permits_row.version, Some(permits_row.encode_to_vec()));
         }
@@ -210,8 +213,8 @@
     /// Records when each permit of this endpoint was first seen.
     pub(super) fn record_own_permits(&mut self) {
         let permits = self.permits_row.row.iter().flat_map(|row| &row.permits);
-        let own = permits.filter(|it| it.endpoint == self.profile.endpoint);
-        let orders = own.map(|it| it.order).collect::<Vec<_>>();
+        let own = permits.filter(|permit| permit.endpoint == self.profile.endpoint);
+        let orders = own.map(|permit| permit.order).collect::<Vec<_>>();
         self.permits_seen.retain(|order, _| orders.contains(order));
         for order in orders {
             self.permits_seen.entry(order).or_insert(self.now);
--- a/crates/decide/src/side/reconcile.rs
+++ b/crates/decide/src/side/reconcile.rs
@@ -48,8 +48,8 @@
     pub(super) fn claim_confirmed(&mut self, out: &mut Vec<SideEffect>) {
         self.mode = Mode::Serving;
         self.owned_since = self.now;
-        // The predecessor may have sent an order after the engine's list was requested: request it
-        // anew.
+        // The predecessor may have sent an order after the engine's list was requested, so the
+        // list is requested again.
         self.last_order_end = self.now;
         out.push(SideEffect::Log(LogEvent::new("owned").with("epoch", self.epoch)));
     }
@@ -116,8 +116,9 @@
     /// Such a model comes from a predecessor's order that reached the engine late. Its memory is
     /// not counted in the ledger and must be freed before anything is loaded.
     fn unload_undecided(&mut self, row: &EndpointRow, out: &mut Vec<SideEffect>) {
-        let held = self.engine.iter().flat_map(|report| report.models.clone()).collect::<Vec<_>>();
-        for held in held {
+        let models =
+            self.engine.iter().flat_map(|report| report.models.clone()).collect::<Vec<_>>();
+        for held in models {
             if row.replica(&held.model).is_none() && !self.order_pending(&held.model) {
                 let id = UNDECIDED_ORDER_BIT | citronrill_base::hash_bytes(held.model.as_bytes());
                 out.push(SideEffect::Log(
@@ -130,9 +131,9 @@
 
     fn order_load(&mut self, row: &EndpointRow, replica: &Replica, out: &mut Vec<SideEffect>) {
         let model = &replica.model;
-        let known = self.engine_has(model, false) || self.failed_loads.contains(model);
+        let attempted = self.engine_has(model, false) || self.failed_loads.contains(model);
         let fenced = self.profile.fencing || self.predecessor_orders_expired();
-        if known || self.order_pending(model) || !fenced {
+        if attempted || self.order_pending(model) || !fenced {
             return;
         }
         if !self.engine_has_room(row, replica) {
--- a/crates/decide/src/side/types.rs
+++ b/crates/decide/src/side/types.rs
@@ -84,7 +84,8 @@
     },
     /// The engine has finished a call.
     CallEnded(CallId),
-    /// An entry reports that it changed the side's row, with the address for the side's new row.
+    /// An entry reports that it changed the side's row; new versions of the row are to be sent to
+    /// the entry at this address.
     RowChanged(String),
     /// Drain: finish running calls and accept no new ones.
     Drain {
--- a/crates/decide/src/view.rs
+++ b/crates/decide/src/view.rs
@@ -97,11 +97,11 @@
     }
 
     fn apply_delta(&mut self, row: &Row) -> Option<Change> {
-        let known = self.deltas.entry(row.key.clone()).or_default();
-        if row.version <= *known {
+        let applied = self.deltas.entry(row.key.clone()).or_default();
+        if row.version <= *applied {
             return None;
         }
-        *known = row.version;
+        *applied = row.version;
         decode::<DeltaRow>(&row.body).map(Change::Delta)
     }
 
@@ -139,8 +139,8 @@
     /// Returns the fastest tier from which an endpoint can load a model.
     pub fn tier(&self, endpoint: EndpointKey, model: &str) -> Tier {
         let row = self.caches.get(&endpoint).and_then(|versioned| versioned.row.as_ref());
-        let cached = row.and_then(|row| row.cached.iter().find(|it| it.model == model));
-        cached.map_or(Tier::Remote, |it| it.tier())
+        let cached = row.and_then(|row| row.cached.iter().find(|cached| cached.model == model));
+        cached.map_or(Tier::Remote, |cached| cached.tier())
     }
 
     /// Returns the version of an endpoint's cache row; `None` if there is no such row.
@@ -208,7 +208,7 @@
         self.endpoints.len() + self.models.len() + self.shares.len() + self.members.len()
     }
 
-    /// Returns whether the view has no such row.
+    /// Returns whether the view has no endpoint, model, share or member row.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/decide/tests/side.rs
+++ b/crates/decide/tests/side.rs
@@ -75,7 +75,7 @@
                 }
                 SideEffect::Commit(id, txn) => {
                     let version = self.row.version + 1;
-                    let own = txn.writes.into_iter().find(|it| it.key == self.row.key);
+                    let own = txn.writes.into_iter().find(|write| write.key == self.row.key);
                     if let Some(write) = own {
                         self.row = Row { version, key: write.key, body: write.body };
                     }
