--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,6 +1,6 @@
 //! Keys, interned names, time and hashing.
 //!
-//! Lets the decision crates share small `Copy` types without depending on anything that does I/O.
+//! The decision crates share these small `Copy` types without depending on anything that does I/O.
 //! Nothing in this crate reads a clock or a random source.
 
 mod hash;
--- a/crates/base/src/names.rs
+++ b/crates/base/src/names.rs
@@ -45,7 +45,7 @@
         self.set.get_index_of(name).map(K::from_index)
     }
 
-    /// Returns the name of `key`, or the empty string if no name here has that key.
+    /// Returns the name of `key`, or the empty string if no name has that key.
     pub fn name(&self, key: K) -> &str {
         self.set.get_index(key.index()).map_or("", String::as_str)
     }
--- a/crates/config/src/catalogue.rs
+++ b/crates/config/src/catalogue.rs
@@ -14,7 +14,7 @@
 const DEFAULT_REPLICAS: u64 = 1;
 /// Deadline of a request in milliseconds if neither the caller nor the service sets one.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// Limit of waiting requests per model and organisation if the service does not set it.
+/// Limit of waiting requests per model if the service does not set it.
 const DEFAULT_QUEUE_LIMIT: u64 = 1_000;
 /// Assumed speed of the disk cache relative to the weight store if no load time is configured.
 const DISK_SPEEDUP: u64 = 3;
@@ -22,7 +22,7 @@
 const RAM_SPEEDUP: u64 = 12;
 const SECTION_KINDS: &str = "pool, organisation, service, model, adapter, endpoint";
 
-/// The priority class of a service's requests; smaller classes are served first.
+/// The priority class of a service's requests. Classes are served in the order given here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
     /// Interactive requests: a person is waiting.
@@ -111,7 +111,7 @@
     pub class: Class,
     /// Default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Limit of waiting requests per model.
+    /// Limit of waiting requests per model, or of the whole service if it is plain, at each entry.
     pub queue: u64,
     /// Whether a call to a model may be sent twice.
     pub repeatable: bool,
@@ -328,10 +328,10 @@
             fields.fail("endpoints", Problem::Missing("the names of the plain endpoints"));
         }
         let unrepeatable = fields.list("unrepeatable");
-        let mut methods = Vec::new();
+        let mut patterns = Vec::new();
         for text in unrepeatable {
             match parse_call_pattern(&text) {
-                Some(method) => methods.push(method),
+                Some(pattern) => patterns.push(pattern),
                 None => fields.fail(
                     "unrepeatable",
                     Problem::Value { expected: "`METHOD /path`, with commas", found: text },
@@ -353,7 +353,7 @@
             repeatable,
             depends,
             endpoints,
-            unrepeatable: methods,
+            unrepeatable: patterns,
         };
         self.catalogue.services.insert(key, service);
     }
--- a/crates/config/src/ini.rs
+++ b/crates/config/src/ini.rs
@@ -24,7 +24,7 @@
 }
 
 impl Section {
-    /// The header without its brackets.
+    /// Returns the header without its brackets.
     pub(crate) fn header(&self) -> String {
         if self.name.is_empty() {
             self.kind.clone()
--- a/crates/config/src/pool.rs
+++ b/crates/config/src/pool.rs
@@ -12,7 +12,7 @@
 /// settings do not set it.
 const DEFAULT_RECOVER_MS: u64 = 3_000;
 
-/// Settings of one process of a pool: its place, addresses and limits.
+/// Settings of one process of a pool: its name, zone, addresses and limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolSettings {
     /// The process's name, unique in the deployment.
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -108,7 +108,7 @@
     }
 
     pub(crate) fn tier(&self, model: &str) -> Tier {
-        if self.ram.iter().any(|it| it == model) {
+        if self.ram.iter().any(|cached| cached == model) {
             return Tier::Ram;
         }
         if self.disk.contains(model) { Tier::Disk } else { Tier::Remote }
@@ -117,7 +117,7 @@
     /// Returns the number of ready models without running calls, adapters excluded.
     pub(crate) fn idle_bases(&self) -> usize {
         let bases = self.models.iter().filter(|(_, state)| state.ready && !state.adapter);
-        bases.filter(|(model, _)| !self.calls.values().any(|it| it == *model)).count()
+        bases.filter(|(model, _)| !self.calls.values().any(|called| called == *model)).count()
     }
 
     /// Begins a load. Returns `false` if the model is already loading or loaded.
@@ -137,7 +137,7 @@
         if self.models.contains_key(&order.model) {
             return Ok(false);
         }
-        if !order.base.is_empty() && !self.models.get(&order.base).is_some_and(|it| it.ready) {
+        if !order.base.is_empty() && !self.models.get(&order.base).is_some_and(|base| base.ready) {
             return Err(None);
         }
         let peak = order.peak_mb.max(order.memory_mb);
@@ -166,7 +166,7 @@
 
     /// Ends a load. Returns whether the model is ready.
     pub(crate) fn loaded(&mut self, order: u64, model: &str) -> bool {
-        let Some(state) = self.models.get_mut(model).filter(|it| it.order == order) else {
+        let Some(state) = self.models.get_mut(model).filter(|state| state.order == order) else {
             return false;
         };
         if state.ready {
@@ -180,7 +180,7 @@
         state.ready = true;
         state.memory_mb = state.loaded_mb;
         self.disk.insert(model.to_owned());
-        self.ram.retain(|it| it != model);
+        self.ram.retain(|cached| cached != model);
         self.ram.push(model.to_owned());
         if self.ram.len() > RAM_CACHE_MODELS {
             self.ram.remove(0);
--- a/crates/lab/src/fuzz.rs
+++ b/crates/lab/src/fuzz.rs
@@ -73,7 +73,7 @@
     RestartEngine(usize),
     /// Removes an endpoint's instance.
     KillEndpoint(usize),
-    /// Drains the sides of an endpoint, with or without giving the endpoint back.
+    /// Drains the sides of an endpoint. With `true`, the endpoint is removed too.
     DrainSide(usize, bool),
     /// Drains an entry.
     DrainEntry(usize),
@@ -216,7 +216,7 @@
         .to_owned()
 }
 
-/// Returns the simulation for fuzzing.
+/// Returns a new simulation for fuzzing.
 pub fn fuzz_simulation(seed: u64) -> Simulation {
     Simulation::new(SimulationOptions {
         seed,
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -28,10 +28,10 @@
         for row in rows {
             match row_kind(&row.key) {
                 RowKind::Endpoint(name) => {
-                    state.endpoints.extend(decode(&row.body).map(|it| (name.to_owned(), it)));
+                    state.endpoints.extend(decode(&row.body).map(|row| (name.to_owned(), row)));
                 }
                 RowKind::Model(name) => {
-                    state.models.extend(decode(&row.body).map(|it| (name.to_owned(), it)));
+                    state.models.extend(decode(&row.body).map(|row| (name.to_owned(), row)));
                 }
                 RowKind::Share(org, _) => {
                     let share = decode::<ShareRow>(&row.body).unwrap_or_default();
@@ -70,7 +70,7 @@
             ));
         }
         for replica in &row.replicas {
-            let count = row.replicas.iter().filter(|it| it.model == replica.model).count();
+            let count = row.replicas.iter().filter(|other| other.model == replica.model).count();
             if count > 1 {
                 violations.push(format!("{name} has {count} replicas of {}", replica.model));
             }
@@ -87,7 +87,7 @@
 }
 
 fn check_engines(sim: &Simulation, state: &TableState, violations: &mut Vec<String>) {
-    for (index, engine) in sim.engines.iter().enumerate().filter(|(_, it)| it.alive) {
+    for (index, engine) in sim.engines.iter().enumerate().filter(|(_, engine)| engine.alive) {
         let name = format!("worker-{index}");
         if engine.used_mb() > engine.memory_mb {
             violations.push(format!(
@@ -130,7 +130,7 @@
             ));
         }
         let key = sim.registry.models.get(model);
-        let limit = key.and_then(|key| sim.catalogue.models.get(&key)).map(|it| it.replicas);
+        let limit = key.and_then(|key| sim.catalogue.models.get(&key)).map(|spec| spec.replicas);
         if limit.is_some_and(|limit| found.len() as u64 > limit) {
             violations
                 .push(format!("{model} has {} replicas, the limit is {limit:?}", found.len()));
@@ -169,9 +169,14 @@
         violations.push(format!("{} permits are taken, the limit is {limit}", permits.len()));
     }
     for (name, row) in &state.endpoints {
-        let loading = row.replicas.iter().filter(|it| it.phase() == Phase::Loading && it.remote);
+        let loading = row
+            .replicas
+            .iter()
+            .filter(|replica| replica.phase() == Phase::Loading && replica.remote);
         for replica in loading {
-            let held = permits.iter().any(|it| it.order == replica.order && it.endpoint == *name);
+            let held = permits
+                .iter()
+                .any(|permit| permit.order == replica.order && permit.endpoint == *name);
             if !held {
                 violations.push(format!(
                     "{name} loads {} from the weight store without a permit",
--- a/crates/lab/src/replay.rs
+++ b/crates/lab/src/replay.rs
@@ -1,4 +1,4 @@
-//! Replays of arrival traces over the reducers, compared with naive rules and two lower bounds.
+//! Replays of arrival traces over the reducers, compared with naive policies and two lower bounds.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 const TICKS: (u64, u64) = (200, 500);
 const DAY_MS: u64 = 24 * 3_600_000;
 const SETTLE_MS: u64 = 5_000;
-/// Keep-alive time of the naive rules.
+/// Keep-alive time of the naive policies, in milliseconds.
 const NAIVE_KEEP_MS: u64 = 600_000;
 /// Interval at which finished requests are collected.
 const COLLECT_MS: u64 = 60_000;
@@ -127,7 +127,8 @@
     replay.report(&sim, &trace)
 }
 
-/// Fills the disk caches unevenly: a cached model is on one worker in four.
+/// Fills the disk caches unevenly: one model in five is not cached, each of the others is cached on
+/// one worker in four.
 fn seed_caches(sim: &mut Simulation, deployment: &Deployment) {
     for model in 0..deployment.models + deployment.adapters {
         for worker in 0..deployment.workers {
@@ -206,7 +207,8 @@
 
     fn report(mut self, sim: &Simulation, trace: &[TraceRequest]) -> ReplayReport {
         let (idle, loads, operations) = self.baseline.unwrap_or_default();
-        let quantiles = |it: &Histogram<u64>| [0.5, 0.99, 0.999].map(|q| it.value_at_quantile(q));
+        let quantiles =
+            |histogram: &Histogram<u64>| [0.5, 0.99, 0.999].map(|q| histogram.value_at_quantile(q));
         self.report.cold_ms = quantiles(&self.cold);
         self.report.lower_bound_ms = quantiles(&self.bound);
         self.report.idle_hours = sim.idle_hours() - idle;
@@ -238,7 +240,8 @@
         gaps.iter().take(kept).sum::<u64>() as f64 / 3_600_000.0
     }
 
-    /// Returns the number of cold starts, including loads of an adapter alone on a base that is ready.
+    /// Returns the number of cold starts, including those that loaded only an adapter, because its base
+    /// was ready.
     fn base_cold_starts(&self) -> usize {
         self.report.cold_starts as usize
     }
@@ -249,7 +252,7 @@
     pub(crate) fn min_load_ms(&self, model: &str) -> u64 {
         let Some(key) = self.registry.models.get(model) else { return 0 };
         let Some(spec) = self.catalogue.models.get(&key) else { return 0 };
-        let best = |name: &str| self.engines.iter().map(|it| it.tier(name)).max();
+        let best = |name: &str| self.engines.iter().map(|engine| engine.tier(name)).max();
         let own = load_ms(spec, best(model).unwrap_or(Tier::Remote));
         let base = spec.base.and_then(|base| self.catalogue.models.get(&base));
         let loaded = |name: &str| {
--- a/crates/lab/src/simulation/calls.rs
+++ b/crates/lab/src/simulation/calls.rs
@@ -4,7 +4,7 @@
 
 impl Simulation {
     pub(super) fn running_side(&self, address: &str) -> Option<SideIndex> {
-        self.sides.iter().position(|it| it.alive && it.profile.address == address)
+        self.sides.iter().position(|side| side.alive && side.profile.address == address)
     }
 
     pub(super) fn offer(&mut self, to: &str, attempt: Attempt, offer: Offer) {
@@ -82,8 +82,11 @@
                 .push(format!("{id:?} must not be retried but ran {} times", request.runs));
         }
         if let Some(key) = request.idempotency_key.filter(|_| !request.repeatable) {
-            let same = self.requests.values().filter(|it| it.idempotency_key == Some(key));
-            let runs = same.filter(|it| it.model == request.model).map(|it| it.runs).sum::<u32>();
+            let same = self.requests.values().filter(|other| other.idempotency_key == Some(key));
+            let runs = same
+                .filter(|other| other.model == request.model)
+                .map(|other| other.runs)
+                .sum::<u32>();
             if runs > 1 {
                 self.violations
                     .push(format!("requests with idempotency key {key} ran {runs} times"));
@@ -121,7 +124,7 @@
     /// Completes a request if it is still open and its entry is still running.
     pub(super) fn complete(&mut self, attempt: Attempt) {
         let running = self.entry_running(attempt.entry, attempt.incarnation);
-        let open = self.requests.get(&attempt.id).is_some_and(|it| it.ended.is_none());
+        let open = self.requests.get(&attempt.id).is_some_and(|request| request.ended.is_none());
         if running && open {
             self.record_outcome(attempt.id, RequestOutcome::Completed);
         }
@@ -163,13 +166,14 @@
                 // The call is running; its frames continue on the new connection.
             }
             Some(_) if !paused => {
-                let forward = false;
+                let from_reducer = false;
                 let to = to.to_owned();
-                let cancel = SimEvent::CancelCall { to, attempt, expires, forward };
+                let cancel = SimEvent::CancelCall { to, attempt, expires, from_reducer };
                 self.schedule(1, cancel);
             }
             _ => {
-                let ended = self.requests.get(&attempt.id).is_none_or(|it| it.ended.is_some());
+                let ended =
+                    self.requests.get(&attempt.id).is_none_or(|request| request.ended.is_some());
                 if !ended && self.is_current(attempt) {
                     self.notify_entry(attempt, Event::ConnectionLost(attempt.id, attempt.call));
                 }
@@ -184,8 +188,14 @@
             && self.entries[attempt.entry].reducer.current_call(attempt.id) == Some(attempt.call)
     }
 
-    pub(super) fn cancel_call(&mut self, to: &str, attempt: Attempt, expires: u64, forward: bool) {
-        if !forward && !self.is_current(attempt) {
+    pub(super) fn cancel_call(
+        &mut self,
+        to: &str,
+        attempt: Attempt,
+        expires: u64,
+        from_reducer: bool,
+    ) {
+        if !from_reducer && !self.is_current(attempt) {
             return;
         }
         let id = self.call_id(attempt);
--- a/crates/lab/src/simulation/effects.rs
+++ b/crates/lab/src/simulation/effects.rs
@@ -8,7 +8,7 @@
             Effect::Send { id, call, address, model, org, class, slack_ms, .. } => {
                 let session = self.entries[index].session;
                 let call_id = CallId { session, number: call };
-                let side = self.sides.iter().find(|it| it.profile.address == address);
+                let side = self.sides.iter().find(|side| side.profile.address == address);
                 // The entry computes the expiry on the side's clock, slightly early.
                 let clock = side.map_or(0, |side| self.now - side.started_at);
                 let expires = clock + slack_ms;
@@ -31,9 +31,10 @@
                 let row = self.entries[index].reducer.view().endpoint(endpoint);
                 let to = row.map(|row| row.address.clone()).unwrap_or_default();
                 let delay = self.network_delay();
+                // The effect does not state the call's deadline; `cancel_call` assumes one second.
                 let expires = u64::MAX;
-                let forward = true;
-                let cancel = SimEvent::CancelCall { to, attempt, expires, forward };
+                let from_reducer = true;
+                let cancel = SimEvent::CancelCall { to, attempt, expires, from_reducer };
                 self.schedule(delay, cancel);
             }
             Effect::Refuse(id, refusal) => {
@@ -57,7 +58,7 @@
             Effect::FetchConfig(head) => {
                 let config = self.configs.get(&head.version).cloned();
                 let peer =
-                    self.entries.iter().any(|it| it.reducer.config_version() == head.version);
+                    self.entries.iter().any(|entry| entry.reducer.config_version() == head.version);
                 if let Some(config) = config.filter(|_| peer || !self.faults.table_down) {
                     let event = Event::Config { version: head.version, source: config };
                     let delay = self.table_delay();
@@ -90,7 +91,7 @@
                 self.send_message(to, Event::Announced(vec![row]));
             }
             Effect::NotifySide { address, from, .. } => {
-                let side = self.sides.iter().position(|it| it.profile.address == address);
+                let side = self.sides.iter().position(|side| side.profile.address == address);
                 if let Some(side) = side {
                     let (incarnation, delay) = (self.sides[side].incarnation, self.network_delay());
                     self.schedule(
@@ -147,7 +148,7 @@
     }
 
     pub(super) fn pull(&mut self, from: usize, incarnation: u64, id: u64, to: &str, since: u64) {
-        let target = self.entries.iter().position(|it| it.alive && it.name == to);
+        let target = self.entries.iter().position(|entry| entry.alive && entry.name == to);
         let Some(target) = target else {
             return self
                 .schedule(1, SimEvent::ToEntry(from, incarnation, Event::FeedAnswer(id, None)));
@@ -155,8 +156,8 @@
         self.next_event += 1;
         let pull = self.next_event;
         self.pending_pulls.insert(pull, (from, incarnation, id));
-        let target_life = self.entries[target].incarnation;
-        self.deliver_entry(target, target_life, Event::FeedPull { pull, since });
+        let target_incarnation = self.entries[target].incarnation;
+        self.deliver_entry(target, target_incarnation, Event::FeedPull { pull, since });
     }
 
     pub(super) fn side_effect(&mut self, index: SideIndex, incarnation: u64, effect: SideEffect) {
@@ -234,7 +235,7 @@
         let spec = spec.and_then(|key| self.catalogue.models.get(&key));
         let tier = self.engines[endpoint].tier(&order.model);
         let time = spec.map_or(1_000, |spec| citronrill_decide::load_ms(spec, tier));
-        let running = self.engines.iter().map(|it| it.remote_loads).sum::<u64>();
+        let running = self.engines.iter().map(|engine| engine.remote_loads).sum::<u64>();
         let slowdown = self.faults.store_slowdown.max(1);
         let time = match tier {
             Tier::Remote => {
--- a/crates/lab/src/simulation/meters.rs
+++ b/crates/lab/src/simulation/meters.rs
@@ -21,7 +21,7 @@
         count_bytes_by_kind(frame, &mut self.meters.by_kind);
         self.meters.entry_bytes.resize(self.entries.len(), 0);
         self.meters.entry_bytes[from] += bytes;
-        if let Some(index) = self.entries.iter().position(|it| it.name == to) {
+        if let Some(index) = self.entries.iter().position(|entry| entry.name == to) {
             self.meters.entry_bytes[index] += bytes;
         }
     }
--- a/crates/lab/src/simulation/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -52,7 +52,7 @@
     pub config: String,
     /// Number of entries at the start.
     pub entries: usize,
-    /// Endpoints at the start, as (memory in MB, checks fencing numbers).
+    /// Endpoints at the start, as (memory in MB, checks fencing tokens).
     pub endpoints: Vec<(u64, bool)>,
     /// Availability zones, assigned in turn.
     pub zones: Vec<String>,
@@ -158,7 +158,7 @@
     EngineUnload { from: SideIndex, incarnation: u64, order: u64, model: String, fence: u64 },
     Offer { to: String, attempt: Attempt, offer: Offer },
     ResponseTimeout { attempt: Attempt, to: String, expires: u64 },
-    CancelCall { to: String, attempt: Attempt, expires: u64, forward: bool },
+    CancelCall { to: String, attempt: Attempt, expires: u64, from_reducer: bool },
     CallFinished { side: SideIndex, incarnation: u64, call: CallId },
     RemoveInstance(String),
     TableRestored,
@@ -200,7 +200,7 @@
     pub entry_bytes: Vec<u64>,
     /// Bytes sent by all sides.
     pub side_bytes: u64,
-    /// Bytes sent and received by entries, by purpose.
+    /// Bytes received by entries, by purpose.
     pub by_kind: BTreeMap<&'static str, u64>,
     /// Time spent in the reducers of all entries, in nanoseconds.
     pub entry_nanos: u64,
@@ -410,7 +410,8 @@
                 self.deliver_entry(index, incarnation, event)
             }
             SimEvent::ToAddress(address, event) => {
-                let index = self.entries.iter().position(|it| it.alive && it.name == address);
+                let index =
+                    self.entries.iter().position(|entry| entry.alive && entry.name == address);
                 if let Some(index) = index {
                     let incarnation = self.entries[index].incarnation;
                     self.deliver_entry(index, incarnation, event);
@@ -483,8 +484,8 @@
             SimEvent::ResponseTimeout { attempt, to, expires } => {
                 self.response_timeout(attempt, &to, expires)
             }
-            SimEvent::CancelCall { to, attempt, expires, forward } => {
-                self.cancel_call(&to, attempt, expires, forward);
+            SimEvent::CancelCall { to, attempt, expires, from_reducer } => {
+                self.cancel_call(&to, attempt, expires, from_reducer);
             }
             SimEvent::CallFinished { side, incarnation, call } => {
                 self.finish_call(side, incarnation, call)
--- a/crates/runtime/src/apply.rs
+++ b/crates/runtime/src/apply.rs
@@ -7,8 +7,8 @@
 use prost::Message;
 use thiserror::Error;
 
-/// Maximum size of a delta row, in bytes. For a larger change the row has no content, and every
-/// process fetches the whole configuration.
+/// Maximum size of a delta, in bytes. The row of a larger delta has no content, and every process
+/// fetches the whole configuration.
 const DELTA_LIMIT: usize = 32 << 10;
 /// Start of the comment that gives the version, in the first line of a printed configuration.
 const VERSION_PREFIX: &str = "; version ";
--- a/crates/runtime/src/entry/control.rs
+++ b/crates/runtime/src/entry/control.rs
@@ -255,8 +255,8 @@
         });
     }
 
-    /// Queries the platform in another thread. With a full pool there is no answer, and the
-    /// reducer's timeout applies.
+    /// Queries the platform in another thread. If the pool's queue is full, the query is dropped and
+    /// the reducer's timeout applies.
     fn query_platform(&self, query: impl FnOnce() -> Option<Event> + Send + 'static) {
         let shared = self.shared.clone();
         self.shared.platform.run(move || {
--- a/crates/runtime/src/entry/exchange.rs
+++ b/crates/runtime/src/entry/exchange.rs
@@ -308,8 +308,8 @@
     /// Resumes the call over a new connection: requests its status and the missing response parts.
     ///
     /// Only the same side process knows the status. If it has not received the call, it records
-    /// that the call must not run, and declines it; otherwise it sends the parts from the first
-    /// missing one.
+    /// that the call must not run, and replies that it did not run. Otherwise it sends the parts from
+    /// the first missing one; if it no longer has them, it replies that the call ran.
     fn resume(&mut self) -> Outcome {
         self.link.detach(self.attempt.call);
         while self.resumes < MAX_RESUMES && Instant::now() < self.give_up_at {
@@ -406,7 +406,7 @@
         outcome
     }
 
-    /// Sends the body in parts. At most a window of parts is unacknowledged by the endpoint.
+    /// Sends the body in parts. At most a window of parts is unacknowledged.
     fn send_parts(&mut self, reader: &mut dyn Read) -> Option<Outcome> {
         let mut buffer = vec![0; BODY_PART_BYTES];
         loop {
--- a/crates/runtime/src/entry/peers.rs
+++ b/crates/runtime/src/entry/peers.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// The number in a reply that acknowledges a demand and refuses nothing.
+/// Number of a reply that acknowledges a demand: the decision is pending.
 pub(super) const DEMAND_ACKED: u32 = 3;
 
 fn refusal_kind(number: u32) -> Option<RefusalKind> {
@@ -128,7 +128,7 @@
     }
 }
 
-/// The id of rows that were not requested: they are sent directly, ahead of the feed.
+/// Id of rows that were not requested. A process sends them directly, before the feed carries them.
 pub(crate) const UNSOLICITED: u64 = 0;
 
 fn to_page(rows: wire::FeedRows) -> Page {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,6 +1,6 @@
 //! Threads, sockets and timers that carry out the reducers' effects.
 //!
-//! One thread of a process, the control thread, owns the reducer and feeds it every event. Other
+//! One thread of a process, the control thread, owns the reducer and passes every event to it. Other
 //! threads transfer bytes between callers, processes and endpoints, or block on calls to the
 //! platform. Threads communicate over channels and exit when their channel is closed.
 
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -23,7 +23,8 @@
 
 use crate::{clock::Clock, meter::Meter, pool::spawn};
 
-/// An opened connection is dead if a frame has been due for this long. Also the limit for a write.
+/// An opened connection is dead if a frame has been due for this long. Also the timeout for queueing
+/// and for writing a frame.
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Interval of the opener's pings while calls are attached.
 const BUSY_PING_INTERVAL: Duration = Duration::from_millis(800);
--- a/crates/runtime/src/pool.rs
+++ b/crates/runtime/src/pool.rs
@@ -1,4 +1,4 @@
-//! A pool of worker threads that take jobs from a channel and exit when it is closed.
+//! A pool of worker threads that take jobs from a channel and exit when the channel is closed.
 
 use std::{io, thread, time::Duration};
 
--- a/crates/runtime/src/side/calls.rs
+++ b/crates/runtime/src/side/calls.rs
@@ -30,10 +30,10 @@
 /// The entry is considered gone if the window stays full, or the next part of a request body is
 /// missing, for this long.
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// The read from an endpoint times out this long after the call's deadline.
+/// An endpoint that sends nothing for the call's remaining time plus this time is given up.
 const DEADLINE_GRACE: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Maximum number of cancellations without a reply yet.
+/// Maximum number of cancellations that have not been answered yet.
 const CANCEL_LIMIT: usize = 4_096;
 
 /// The calls of a side, by id.
--- a/crates/runtime/src/side/mod.rs
+++ b/crates/runtime/src/side/mod.rs
@@ -75,8 +75,8 @@
     /// Starts a side process. It accepts calls once it owns its endpoint's row.
     ///
     /// # Errors
-    /// The process cannot listen on the address, or cannot start a thread. The address belongs to
-    /// the slot: while a predecessor still listens on it, a successor cannot start.
+    /// The process cannot listen on the address, or cannot start a thread. A successor has the
+    /// same address as its predecessor, so it cannot start while the predecessor still listens.
     pub fn start(settings: &SideSettings, options: SideOptions) -> Result<SideProcess, StartError> {
         let common = &settings.common;
         let listener = bind(common.listen)?;
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -25,7 +25,8 @@
 const RAM_SPEEDUP: u64 = 12;
 /// Number of models whose weights stay in the RAM cache.
 const RAM_CACHE_MODELS: usize = 4;
-/// Maximum attempts to load from the weight store while it refuses the load for its rate limit.
+/// Maximum attempts to load from the weight store while it refuses the load because of its rate
+/// limit.
 const MAX_LOAD_ATTEMPTS: usize = 20;
 
 /// Options of an engine.
@@ -33,7 +34,7 @@
 pub struct EngineOptions {
     /// Accelerator memory, in MB.
     pub memory_mb: u64,
-    /// Whether an order with an outdated fencing number is refused.
+    /// Whether an order with an outdated fencing token is refused.
     pub fencing: bool,
     /// Time of a load from the weight store, in milliseconds.
     pub load_ms: u64,
@@ -80,7 +81,8 @@
         let answers = AtomicU64::new(0);
         let engine = Arc::new(Engine { options, state: Mutex::default(), answers });
         let shared = engine.clone();
-        let server = HttpServer::start("engine", address, THREADS, move |it| shared.handle(it))?;
+        let server =
+            HttpServer::start("engine", address, THREADS, move |request| shared.handle(request))?;
         Ok(EngineStandin { engine, server })
     }
 
@@ -107,7 +109,7 @@
     /// Returns the names of the ready models.
     pub fn ready_models(&self) -> Vec<String> {
         let state = self.engine.lock();
-        state.models.iter().filter(|(_, it)| it.ready).map(|(name, _)| name.clone()).collect()
+        state.models.iter().filter(|(_, model)| model.ready).map(|(name, _)| name.clone()).collect()
     }
 }
 
@@ -154,7 +156,7 @@
         let _ = respond(request, 200, &headers, report.to_string().as_bytes());
     }
 
-    /// Returns whether an order's fencing number is current, and records it.
+    /// Returns whether an order's fencing token is current, and records it.
     fn accept_fence(&self, state: &mut State, fence: u64) -> bool {
         if self.options.fencing && fence < state.fence {
             return false;
@@ -174,7 +176,7 @@
             }
             let base = order.base.is_empty()
                 || state.models.get(&order.base).is_some_and(|base| base.ready);
-            let used = state.models.values().map(|it| it.memory_mb).sum::<u64>();
+            let used = state.models.values().map(|loaded| loaded.memory_mb).sum::<u64>();
             if !base || used + order.peak_mb > self.options.memory_mb {
                 return 507;
             }
@@ -201,7 +203,7 @@
         let load_ms = self.options.load_ms;
         let (ram, disk) = {
             let state = self.lock();
-            let has = |cache: &[String]| cache.iter().any(|it| it == model);
+            let has = |cache: &[String]| cache.iter().any(|cached| cached == model);
             (has(&state.ram), has(&state.disk))
         };
         if ram || disk {
@@ -241,7 +243,7 @@
     fn answer(&self, request: Request, body: &[u8]) {
         let request_json: Value = serde_json::from_slice(body).unwrap_or_default();
         let model = request_json["model"].as_str().unwrap_or_default().to_owned();
-        if !self.lock().models.get(&model).is_some_and(|it| it.ready) {
+        if !self.lock().models.get(&model).is_some_and(|loaded| loaded.ready) {
             let _ = respond(request, 404, &[], b"the engine does not hold the model");
             return;
         }
@@ -300,10 +302,10 @@
 
 impl State {
     fn add_to_caches(&mut self, model: &str) {
-        if !self.disk.iter().any(|it| it == model) {
+        if !self.disk.iter().any(|cached| cached == model) {
             self.disk.push(model.to_owned());
         }
-        self.ram.retain(|it| it != model);
+        self.ram.retain(|cached| cached != model);
         self.ram.push(model.to_owned());
         if self.ram.len() > RAM_CACHE_MODELS {
             self.ram.remove(0);
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -54,7 +54,8 @@
             faults: Faults::default(),
         });
         let shared = state.clone();
-        let server = HttpServer::start("platform", address, THREADS, move |it| shared.handle(it))?;
+        let server =
+            HttpServer::start("platform", address, THREADS, move |request| shared.handle(request))?;
         Ok(PlatformStandin { state, server })
     }
 
--- a/crates/wire/src/frames.rs
+++ b/crates/wire/src/frames.rs
@@ -24,7 +24,7 @@
 /// Proves that the sender knows the secret.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Proof {
-    /// HMAC over both [`Hello`] messages.
+    /// HMAC over the sender's direction and both [`Hello`] messages.
     #[prost(bytes = "vec", tag = "1")]
     pub mac: Vec<u8>,
 }
@@ -129,13 +129,13 @@
     pub last: bool,
 }
 
-/// Acknowledges parts of a request body that the endpoint has received.
+/// Acknowledges parts of a request body that were written to the endpoint.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct BodyAck {
     /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Number of parts received.
+    /// Number of parts written.
     #[prost(uint64, tag = "2")]
     pub taken: u64,
 }
@@ -174,7 +174,7 @@
     /// The call's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Index of the part up to which all have been received.
+    /// Number of parts received; the head and the end frame count as parts.
     #[prost(uint64, tag = "2")]
     pub taken: u64,
 }
@@ -265,7 +265,7 @@
     #[prost(string, tag = "1")]
     pub model: String,
     /// 0 the organisation's share is used up, 1 the pool is full, 2 the model was removed, 3 the
-    /// demand was received and its decision is pending.
+    /// demand was received and the decision is pending.
     #[prost(uint32, tag = "2")]
     pub kind: u32,
 }
--- a/crates/wire/src/pool.rs
+++ b/crates/wire/src/pool.rs
@@ -196,7 +196,7 @@
 /// The state of an endpoint, as known to its side.
 #[derive(Clone, PartialEq, Message)]
 pub struct SideState {
-    /// Number of orders that the endpoint has accepted; of two reports the one with more is newer.
+    /// Number of orders that the endpoint has accepted; the report with the higher number is newer.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
     /// The loaded models.
@@ -226,7 +226,7 @@
     /// Number of entries connected to this side.
     #[prost(uint32, tag = "10")]
     pub entries: u32,
-    /// Whether the endpoint answered its side's recent status requests.
+    /// Whether the endpoint has recently answered a status request of its side.
     #[prost(bool, tag = "11")]
     pub healthy: bool,
     /// Estimated milliseconds until all loads under `loading` have completed.
--- a/src/commands/side.rs
+++ b/src/commands/side.rs
@@ -18,7 +18,7 @@
     files::{Platform, read_file},
 };
 
-/// Run a side process in an endpoint's slot: owns the endpoint's ledger and executes its calls.
+/// Run the side process of an endpoint: owns the endpoint's ledger and executes its calls.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "side")]
 pub(crate) struct Side {
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -63,7 +63,7 @@
     #[argh(option, default = "20")]
     token_ms: u64,
 
-    /// refuse orders with an old fencing number
+    /// refuse orders with an outdated fencing token
     #[argh(switch)]
     fencing: bool,
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -77,7 +77,8 @@
     handle
 }
 
-/// Returns milliseconds since the epoch. They only serve to sort the lines of several processes.
+/// Returns milliseconds since the epoch, to sort and plot the log lines of several processes. No
+/// decision depends on them.
 fn unix_ms() -> u128 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(0, |elapsed| elapsed.as_millis())
--- a/tests/all/configuration.rs
+++ b/tests/all/configuration.rs
@@ -36,9 +36,9 @@
     let clients = Clients::new(deployment.platform.address());
     let (table, objects) = (clients.table.as_ref(), clients.objects.as_ref());
     deployment.platform.faults().lose_confirmations(1);
-    let offer = || apply_config(table, objects, "a.ini", &with_model("new"), Some(1)).unwrap();
-    assert_eq!(offer(), ApplyOutcome::Accepted { version: 2 });
-    assert_eq!(offer(), ApplyOutcome::Accepted { version: 2 });
+    let apply = || apply_config(table, objects, "a.ini", &with_model("new"), Some(1)).unwrap();
+    assert_eq!(apply(), ApplyOutcome::Accepted { version: 2 });
+    assert_eq!(apply(), ApplyOutcome::Accepted { version: 2 });
     assert_eq!(config_head(table).unwrap().0.version, 2);
 }
 
