--- a/crates/gateway/src/caller_server.rs
+++ b/crates/gateway/src/caller_server.rs
@@ -49,7 +49,7 @@
 /// Milliseconds to receive a request body when the caller sets no deadline.
 const BODY_TIMEOUT_MS: u64 = 10_000;
 
-/// Milliseconds before the end of a planned stop at which the last requests must be answered.
+/// Milliseconds before the end of a planned stop by which all requests must be answered.
 const LAST_RESPONSES_MS: u64 = 300;
 /// Milliseconds for which a stopping entry waits for the first request on an accepted connection: a
 /// caller sends at once when it is connected, and TCP sends a lost packet again after 200 ms.
@@ -127,7 +127,8 @@
 /// Closing it alone would reset connections that are established but not yet accepted, although an entry
 /// must answer their requests in a planned stop.
 fn take_accept_queue(listener: TcpListener) -> Result<Vec<TcpStream>, GatewayError> {
-    // The runtime's listener only knows the connections that its last poll has shown.
+    // The runtime's listener returns only connections that its last poll has reported; the standard
+    // library's listener accepts from the queue itself.
     let listener = listener.into_std()?;
     let mut streams = Vec::new();
     loop {
@@ -195,8 +196,8 @@
         // The guard on the watched value must not be held across the next await.
         drop(closed.wait_for(|closed| *closed).await);
         // A graceful shutdown closes a connection that has received nothing yet, while the first
-        // request of a newly accepted caller may still be in transit. This waits until each
-        // connection has received one, or for the timeout.
+        // request of a newly accepted caller may still be in transit. So this waits until the
+        // connection has received a request, or for the timeout.
         drop(timeout(Duration::from_millis(FIRST_REQUEST_MS), first_request.notified()).await);
     };
     let result = tokio::select! {
@@ -317,9 +318,9 @@
     }
 }
 
-/// Returns whether a response is an event stream whose end the endpoint decides.
+/// Returns whether a response is an event stream without a fixed length.
 ///
-/// One with a content length is not: a retry that resumes it may produce another length.
+/// Only such a stream can be resumed: the attempt that resumes it may produce another length.
 fn is_event_stream(headers: &HeaderMap) -> bool {
     let media_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     let is_stream = media_type.is_some_and(|media_type| media_type.starts_with(EVENT_STREAM));
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -40,7 +40,7 @@
 /// Value of a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowValue {
-    /// None: the row was removed.
+    /// No value: the row was removed.
     Removed,
     /// The decoded bytes.
     Bytes(Vec<u8>),
@@ -68,7 +68,7 @@
     pub deadline_ms: Option<u64>,
     /// Name of the model, followed by a slash and the adapter's name if one is requested.
     pub model: String,
-    /// Hash of the first part of the prompt; 0 if unknown.
+    /// Hash of the model's name and the first part of the prompt; 0 if the prompt is unknown.
     pub prefix_hash: u64,
     /// Token counts of the request.
     pub tokens: TokenCount,
@@ -130,11 +130,11 @@
         instance: &str,
     ) -> ResponseHead;
 
-    /// Encodes an order sent by `holder`, the name of the side that gives it.
+    /// Encodes an order; `holder` is the name of the side that sends it.
     fn encode_order(&self, order: &Order, holder: &str) -> OrderCall;
 
-    /// Decodes an endpoint's response to an order; with the name of its incarnation if the order expected
-    /// another one.
+    /// Decodes an endpoint's response to an order. Returns the outcome and, if the order was addressed to
+    /// another incarnation, the name of the one that responded.
     fn decode_order_response(
         &self,
         status: StatusCode,
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -333,7 +333,8 @@
 
     fn step(&mut self, event: EntryEvent) {
         let effects = self.reducer.step(self.now(), event);
-        // Before the effects: once the log shows that a configuration was read, the process is ready.
+        // Updated before the effects are executed: when an effect logs that a configuration was read,
+        // the process must already report that it is ready.
         self.status.ready.store(self.reducer.ready(), Ordering::Relaxed);
         self.status.in_flight.store(self.reducer.in_flight() as u64, Ordering::Relaxed);
         effects.into_iter().for_each(|effect| self.execute(effect));
@@ -377,12 +378,12 @@
 
     fn send_command(&mut self, id: RequestId, command: Command, last: bool) {
         let Some(request) = self.requests.get(&id) else { return };
-        let gone = request.commands.send(command).is_err();
+        let task_ended = request.commands.send(command).is_err();
         if last {
             self.requests.remove(&id);
         }
         // A task that has ended sends `EntryEvent::CallerLeft`, which cleans up the request.
-        if gone {
+        if task_ended {
             log::debug!("event=request_gone request={}", id.0);
         }
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -179,7 +179,8 @@
     let listed = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let listed = listed.flat_map(|value| value.split(',')).map(|name| name.trim().to_lowercase());
     for name in listed.collect::<Vec<_>>() {
-        // Headers that identify the request are never hop-by-hop, even if `Connection` lists them.
+        // Headers that identify or delimit the message are never hop-by-hop, even if `Connection` lists
+        // them.
         if !name.starts_with("x-") && name != "host" && name != "content-length" {
             headers.remove(name.as_str());
         }
--- a/crates/gateway/src/http_client.rs
+++ b/crates/gateway/src/http_client.rs
@@ -25,8 +25,8 @@
 /// Milliseconds after which unacknowledged bytes end a connection: a peer without power or behind a
 /// network partition sends no reset, and the connection would hang for minutes.
 const TCP_USER_TIMEOUT_MS: u64 = 2_500;
-/// Maximum size of a control response in bytes: a page with the configuration, which has no limit of
-/// its own. /// 1,400 routes take 345 KB as the store encodes them.
+/// Maximum size of a control response in bytes. The largest is a page with the configuration, which has
+/// no size limit of its own: 1,400 routes take 345 KB as the store encodes them.
 const MAX_CONTROL_BYTES: usize = 16 << 20;
 /// Size in bytes from which a response's transfer time is logged: it takes 50 ms on the slowest link,
 /// 10 Mbit/s.
@@ -134,9 +134,10 @@
     /// Makes a call whose response may be large and returns the complete response.
     ///
     /// The head must arrive within `head_timeout_ms` and before `superseded` completes. After that each
-    /// part must follow the previous one within [`PART_TIMEOUT_MS`]; `progress` is called for each. One
-    /// timeout for the whole response would be too short for large ones: a configuration of 0.7 MB on a
-    /// link of 10 Mbit/s timed out on every attempt and was never read.
+    /// part must follow the previous one within [`PART_TIMEOUT_MS`], and the whole body must arrive within
+    /// [`BODY_TIMEOUT_MS`]; `progress` is called for each part. With a single short timeout for the whole
+    /// response, a configuration of 0.7 MB on a link of 10 Mbit/s timed out on every attempt and was never
+    /// read.
     pub(crate) async fn fetch(
         &mut self,
         request: Request<Full<Bytes>>,
--- a/crates/gateway/src/platform_view.rs
+++ b/crates/gateway/src/platform_view.rs
@@ -39,7 +39,7 @@
 /// The member list, encoded as in the platform store.
 #[derive(Default)]
 struct MemberList {
-    /// 0 until the list was read.
+    /// 0 until the list has been read from the store or a peer.
     version: u64,
     rows: BTreeMap<String, Vec<u8>>,
     /// Keys of undecodable rows that were logged.
@@ -218,17 +218,17 @@
     pub(crate) fn snapshot(&self) -> Option<Snapshot> {
         let config = self.config_version();
         let members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = config > 0 && members.version > 0;
+        let complete = config > 0 && members.version > 0;
         let rows = members.rows.iter();
         let rows = rows.map(|(name, bytes)| MemberRow { name: name.clone(), bytes: bytes.clone() });
-        known.then(|| Snapshot {
+        complete.then(|| Snapshot {
             config_version: config,
             list_version: members.version,
             members: rows.collect(),
         })
     }
 
-    /// Applies a peer's member list if none has been read from the store yet.
+    /// Applies a peer's member list if none is known yet.
     pub(crate) fn apply_snapshot(&self, snapshot: Snapshot, peer: SocketAddr) {
         let (version, count) = (snapshot.list_version, snapshot.members.len());
         if version == 0 {
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -20,9 +20,9 @@
     platform_view::PlatformView,
 };
 
-/// Milliseconds between two polls of the member list. Some endpoint writes several times a second, so a
-/// long poll would return at once each time. A leaving endpoint must stop receiving requests within two
-/// seconds; this pause and the store's response take half of that.
+/// Milliseconds between two polls of the member list. Several times a second one of the endpoints writes
+/// its row, so a long poll would return at once each time. A leaving endpoint must stop receiving
+/// requests within two seconds; this pause and the store's response take half of that.
 const MEMBERS_PAUSE_MS: u64 = 900;
 /// Maximum number of failed calls that are logged per outage.
 const MAX_LOGGED_FAILURES: u32 = 16;
@@ -155,7 +155,7 @@
                 return Err(GatewayError::Status(status.as_u16()));
             }
             let page = self.dialect.decode_rows(&body)?;
-            // The lowest version counts: whatever changed after it is read with the changes.
+            // The lowest version of all pages: the next poll returns every change after it.
             let first = table.version == 0;
             table.version = if first { page.version } else { table.version.min(page.version) };
             from = page.rows.last().map(|row| format!("{}\0", row.key));
--- a/crates/insight/src/explain.rs
+++ b/crates/insight/src/explain.rs
@@ -21,7 +21,7 @@
     "order_repeated",
     "no_room",
 ];
-/// Events that change what a process knows or logs, for every request.
+/// Events that change the known state or the log of a process and so concern all its requests.
 const STATE_EVENTS: [&str; 10] = [
     "text",
     "store_lost",
--- a/crates/insight/src/report.rs
+++ b/crates/insight/src/report.rs
@@ -1,4 +1,4 @@
-//! Draws a run as an SVG picture.
+//! Draws the events of a log over time as an SVG picture.
 
 use plotters::{
     chart::ChartBuilder,
@@ -41,7 +41,7 @@
     values: Vec<f64>,
 }
 
-/// The time axis: the start of a run and its division into equal steps.
+/// The time axis: the start of a log and its division into equal steps.
 struct TimeSteps {
     start_ms: u64,
     step_ms: u64,
--- a/tests/pool/config_transfer.rs
+++ b/tests/pool/config_transfer.rs
@@ -21,10 +21,12 @@
 }
 
 /// Guards against redundant configuration transfers that saturate a slow link. If sides send a copy to
-/// each entry that has not reported the new version after 0.4 s, all 55 of them do so to an entry on a
-/// 10 Mbit/s link, which needs 0.9 s for the configuration. The copies delay the entry's own read of the
-/// store beyond its timeout of 3 s, no transfer completes, and new routes stay unknown for minutes:
-/// many `event=text_sending` in the log, no `event=text_sent`.
+/// each entry that has not reported the new version after 0.4 s, all of them do so to an entry on a
+/// 10 Mbit/s link, which needs 0.9 s for a configuration with 1,400 new routes. With 55 sides, 1,221 copies
+/// (672 MB) were begun within two seconds and none was completed. They delayed the entry's own read of the
+/// store beyond its timeout of 3 s, and new routes stayed unknown for minutes. The sides logged
+/// `event=entry_lost` for each copy and not one `event=text_sent`; entries on 200 Mbit/s links were not
+/// affected.
 #[test]
 fn a_large_config_crosses_a_slow_link_once() {
     let engines = [("e1", &["m0"] as &[_]), ("e2", &["m0"]), ("e3", &["m0"])];
@@ -37,7 +39,7 @@
     let size = config.len() as u64;
     pool.store.put("op", "config", Some(config));
     wait_until("the configuration is in use", || has_config(&slow.process, 2));
-    // The store's encoding, one copy from a side, and a tenth for other messages.
+    // The configuration in the store's encoding, one copy from a side, and a tenth for other messages.
     let limit = size * STORE_SIZE_THIRDS / 3 + size + size / 10;
     let received = slow.link.inbound_bytes() - received_before;
     assert!(received <= limit, "{received} bytes received for a configuration of {size}");
--- a/tests/pool/life.rs
+++ b/tests/pool/life.rs
@@ -42,8 +42,8 @@
     pool.wait_until("the side has the configuration", || {
         side.logged(&["event=text ", "version=4"])
     });
-    let known = |entry: &Process| entry.logged(&["event=text ", "version=4"]);
-    pool.wait_until("the entries have the configuration", || entries.iter().all(known));
+    let has_config = |entry: &Process| entry.logged(&["event=text ", "version=4"]);
+    pool.wait_until("the entries have the configuration", || entries.iter().all(has_config));
     // Longer than the interval over which entries spread their transfers.
     std::thread::sleep(Duration::from_millis(2_000));
     let copies = side.metric("citronrill_texts_total") - before;
@@ -91,8 +91,8 @@
     assert_eq!(pool.request(&Request::call("/added/x", "id-4")).status, 200);
 }
 
-/// Guards against an entry that keeps waiting for a call from the outage to one table although the store
-/// already answers calls to another table.
+/// Guards against an entry that keeps waiting for a call that it sent for one table during an outage,
+/// although the store already answers calls for another table.
 #[test]
 fn a_hung_store_call_is_abandoned_once_another_is_answered() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
@@ -147,18 +147,18 @@
 }
 
 /// An entry starts while the store is unavailable and gets the configuration and endpoints from another
-/// entry; a seed that is down does not prevent that. It follows the store once that is back.
+/// entry; a seed that is down does not prevent that. It reads the store again once that is available.
 #[test]
 fn an_entry_started_in_an_outage_bootstraps_from_peers() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
     pool.store.set_outage(Some(Outage::Refuse));
     pool.wait_until("the loss of the store is logged", || pool.entry.logged(&["event=store_lost"]));
     let new_entry = pool.add_entry_with_seeds(&format!("127.0.0.1:9,{}", pool.snapshot_address));
-    pool.wait_until("it has the configuration and the endpoints", || {
+    pool.wait_until("the new entry has the configuration and the endpoints", || {
         new_entry.logged(&["event=text_read", "source=peer", "version=1"])
             && new_entry.logged(&["event=members", "known=2 open=2"])
     });
-    pool.wait_until("it is connected to the side", || {
+    pool.wait_until("the new entry is connected to the side", || {
         pool.sides[0].logged(&["entry_connected", "entries=2"])
     });
     pool.store.put("op", "config", Some(config(5, &["/added/"])));
--- a/tests/pool/members.rs
+++ b/tests/pool/members.rs
@@ -2,8 +2,9 @@
 
 use crate::support::{Deployment, Request};
 
-/// A worker restarts under its name between two checks and has no models loaded. A request for a model
-/// that it held before is served once the model is reloaded, and no order violates the worker's checks.
+/// A worker restarts under its name between two polls and has no models loaded. A request for a model
+/// that it held before is served once the model is reloaded, and the worker detects no violation by an
+/// order.
 #[test]
 fn a_restarted_worker_reloads_its_models() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
--- a/tests/pool/requests.rs
+++ b/tests/pool/requests.rs
@@ -56,7 +56,8 @@
     assert!((1..=5_000).contains(&remaining), "{remaining}");
 }
 
-/// Method, path, query and body reach the endpoint unchanged, with Content-Length as well as chunked.
+/// Method, path, query and body reach the endpoint unchanged, both with a content length and with chunked
+/// encoding.
 #[test]
 fn requests_pass_unchanged() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
--- a/tests/pool/responses.rs
+++ b/tests/pool/responses.rs
@@ -60,7 +60,8 @@
     pool.wait_until("the disconnect is logged", || pool.entry.logged(&["event=left", "id=id-1"]));
 }
 
-/// The same, but the caller disconnects before the endpoint has sent the response head.
+/// Guards against wasted engine work: a caller disconnects before the endpoint has sent the response
+/// head, and the run is cancelled.
 #[test]
 fn a_disconnect_before_the_response_cancels_the_run() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
--- a/tests/pool/resume.rs
+++ b/tests/pool/resume.rs
@@ -60,14 +60,14 @@
     assert_eq!(event_ids(&response), (0..20).collect::<Vec<_>>());
 }
 
-/// Guards against a caller that hangs until a stalled instance, engine and side, responds again.
+/// Guards against a caller that waits until a stalled instance (engine and side) responds again.
 #[test]
 fn a_resumable_stream_fails_over_from_a_stalled_instance() {
     let pool = Deployment::start(&[("e1", &["m0"]), ("e2", &["m0"])]);
     pool.engines.iter().for_each(|engine| engine.set_mode(WorkerMode::StallThenRun));
     let mut stream = pool.send(&Request::stream("/chat/x", "id-1", "m0"));
     let running = || pool.engines.iter().position(|engine| engine.in_flight() == 1);
-    pool.wait_until("a worker runs it", || running().is_some());
+    pool.wait_until("a worker runs the request", || running().is_some());
     let side = &pool.sides[running().unwrap()];
     side.signal(SIGSTOP);
     let response = Response::read(&mut stream);
@@ -102,7 +102,7 @@
     pool.wait_until("the stream is resumed", || {
         pool.entry.logged(&["event=sent", "id=id-1", "copy=true"])
     });
-    pool.wait_until("a worker runs it", || {
+    pool.wait_until("a worker runs the request", || {
         pool.engines.iter().any(|engine| engine.in_flight() == 1)
     });
     drop(stream);
--- a/tests/pool/support/process.rs
+++ b/tests/pool/support/process.rs
@@ -64,8 +64,9 @@
     pub(crate) fn logged_numbers(&self, event: &str, key: &str) -> Vec<u64> {
         let lines = self.lines.lock().unwrap();
         let lines = lines.iter().filter(|line| line.contains(event));
-        let words = lines.filter_map(|line| line.split(' ').find_map(|w| w.strip_prefix(key)));
-        words.filter_map(|word| word.parse().ok()).collect()
+        let values =
+            lines.filter_map(|line| line.split(' ').find_map(|pair| pair.strip_prefix(key)));
+        values.filter_map(|value| value.parse().ok()).collect()
     }
 
     /// Returns whether a log line contains all of these parts.
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -26,7 +26,7 @@
 /// after at most a third of it, so that two or three faults overlap.
 const MAX_FAULT_MS: u64 = 1_500;
 const MAX_PAUSE_MS: u64 = 500;
-/// Bytes per second of an entry's slow link, on which a large configuration takes longer than a fixed
+/// Bytes per second of an entry's slow link. A large configuration takes longer on it than a short fixed
 /// timeout of sides or of store reads would allow.
 const SLOW_LINK: u64 = 800_000;
 /// Additional routes, for a configuration of 330 KB.
@@ -184,7 +184,7 @@
                 self.end_after(duration_ms, FaultEnd::RestoreLink(side));
             }
             10 => {
-                // No further random draw, so that existing seeds keep their sequence of faults.
+                // Chosen without another random draw, so that existing seeds keep their sequence of faults.
                 let outage = if duration_ms % 2 == 0 { Outage::Refuse } else { Outage::Hang };
                 self.log_fault(format!("store down for {duration_ms} ms: {outage:?}"));
                 self.deployment.store.set_outage(Some(outage));
@@ -304,8 +304,8 @@
         self.fault_log.push(format!("{:>6} ms {what}", self.started.elapsed().as_millis()));
     }
 
-    /// Waits until all processes use the last configuration, now that all faults have ended. Returns an
-    /// entry for each process that does not, or that ever went back to an older version.
+    /// Waits until all processes use the last configuration, after all faults have ended. Returns a
+    /// violation for each process that does not, or that ever went back to an older version.
     pub(crate) fn check_configs(&mut self) -> Vec<String> {
         let version = self.version;
         let extra_entries = self.extra_entries.iter().map(|entry| &entry.process);
