--- a/crates/decide/src/entry/coordinator.rs
+++ b/crates/decide/src/entry/coordinator.rs
@@ -299,7 +299,7 @@
         }
     }
 
-    /// The number of replicas that the demand requires; `None` if no further one is needed.
+    /// Returns the number of replicas that the demand requires; `None` if no further one is needed.
     fn replicas_needed(&mut self, model: ModelKey) -> Option<u64> {
         let now = self.now;
         let decided = self.view.model_row(model).map_or(0, |row| row.holders.len() as u64);
@@ -334,7 +334,7 @@
         let name =
             format!("{}/{}/{conflicts}", self.model_name(request.model), self.profile.session);
         let tie_breaker = hash_bytes(name.as_bytes());
-        let order = self.new_order(2);
+        let order = self.reserve_order_ids(2);
         let input = PlacementInput {
             view: &self.view,
             catalogue: &self.catalogue,
@@ -542,7 +542,7 @@
         }
     }
 
-    /// Whether the model or its base is in the cooldown after a failed load.
+    /// Returns whether the model or its base is in the cooldown after a failed load.
     fn in_cooldown(&self, model: ModelKey) -> bool {
         let base = self.catalogue.models.get(&model).and_then(|spec| spec.base);
         self.cooldown(model).is_some() || base.is_some_and(|base| self.cooldown(base).is_some())
@@ -565,7 +565,7 @@
         }
     }
 
-    /// Remaining cooldown of a model that failed to load, in milliseconds.
+    /// Returns the remaining cooldown of a model that failed to load, in milliseconds.
     pub(super) fn cooldown(&self, model: ModelKey) -> Option<u64> {
         let (_, until) = self.cooldowns.get(&model)?;
         (*until > self.now).then(|| until.since(self.now))
--- a/crates/decide/src/entry/mod.rs
+++ b/crates/decide/src/entry/mod.rs
@@ -71,7 +71,7 @@
     deadline: Millis,
     sent_at: Millis,
     repeatable: bool,
-    prefix: u64,
+    prefix_hash: u64,
     attempts: u8,
     excluded: Vec<EndpointKey>,
     owner: u64,
@@ -410,7 +410,7 @@
     }
 
     /// Reserves `count` consecutive order ids that no other process uses; returns the first.
-    fn new_order(&mut self, count: u64) -> u64 {
+    fn reserve_order_ids(&mut self, count: u64) -> u64 {
         let first = self.next_order;
         self.next_order += count;
         let name = format!("{}/{}/{first}", self.profile.instance, self.profile.session);
--- a/crates/decide/src/entry/requests.rs
+++ b/crates/decide/src/entry/requests.rs
@@ -92,7 +92,7 @@
             deadline,
             sent_at: self.now,
             repeatable: resolved.repeatable,
-            prefix: incoming.prefix,
+            prefix_hash: incoming.prefix,
             attempts: 0,
             excluded: Vec::new(),
             owner: 0,
@@ -238,9 +238,9 @@
     pub(super) fn dispatch(&mut self, target: Target, out: &mut Vec<Effect>) {
         while let Some(id) = self.queues.get(&target).and_then(|queue| queue.first()) {
             let request = &self.requests[&id];
-            let mut candidates = self.candidates(target, request.prefix, &request.excluded);
+            let mut candidates = self.candidates(target, request.prefix_hash, &request.excluded);
             if candidates.is_empty() && !request.excluded.is_empty() {
-                candidates = self.candidates(target, request.prefix, &[]);
+                candidates = self.candidates(target, request.prefix_hash, &[]);
             }
             let Some(index) = self.policies.router.pick(&candidates, &mut self.rng) else { break };
             if let Some(queue) = self.queues.get_mut(&target) {
@@ -256,7 +256,12 @@
     }
 
     /// Replicas that can take one more request of this entry.
-    fn candidates(&self, target: Target, prefix: u64, excluded: &[EndpointKey]) -> Vec<Candidate> {
+    fn candidates(
+        &self,
+        target: Target,
+        prefix_hash: u64,
+        excluded: &[EndpointKey],
+    ) -> Vec<Candidate> {
         match target {
             Target::Model(model) => self
                 .view
@@ -266,13 +271,15 @@
                     let current = self.view.endpoint_version(*endpoint);
                     *phase == Phase::Ready && stale_version.is_none_or(|version| *version < current)
                 })
-                .filter_map(|(endpoint, _)| self.candidate(endpoint, prefix, excluded))
+                .filter_map(|(endpoint, _)| self.candidate(endpoint, prefix_hash, excluded))
                 .collect(),
             Target::Plain(service) => {
                 let endpoints = self.catalogue.services.get(&service);
                 let endpoints = endpoints.map(|spec| spec.endpoints.as_slice()).unwrap_or_default();
                 let found = endpoints.iter();
-                found.filter_map(|endpoint| self.candidate(*endpoint, prefix, excluded)).collect()
+                found
+                    .filter_map(|endpoint| self.candidate(*endpoint, prefix_hash, excluded))
+                    .collect()
             }
         }
     }
@@ -280,7 +287,7 @@
     fn candidate(
         &self,
         endpoint: EndpointKey,
-        prefix: u64,
+        prefix_hash: u64,
         excluded: &[EndpointKey],
     ) -> Option<Candidate> {
         let row = self.view.endpoint(endpoint)?;
@@ -297,9 +304,9 @@
             return None;
         }
         let name = self.view.endpoint_name(endpoint);
-        let affinity = match prefix {
+        let affinity = match prefix_hash {
             0 => 0,
-            prefix => hash_bytes(name.as_bytes()) ^ prefix.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            hash => hash_bytes(name.as_bytes()) ^ hash.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         };
         Some(Candidate {
             endpoint,
--- a/crates/decide/src/rows.rs
+++ b/crates/decide/src/rows.rs
@@ -115,7 +115,7 @@
 /// An endpoint: its memory ledger and what an entry needs to reach it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct EndpointRow {
-    /// Fencing number; increases with every side process that claims the endpoint.
+    /// Fencing token; increases with every side process that claims the endpoint.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     /// The side's address.
--- a/crates/decide/src/side/ledger.rs
+++ b/crates/decide/src/side/ledger.rs
@@ -82,7 +82,7 @@
         if self.reconcile_ledger(out) || self.calls.running() > 0 || !row.replicas.is_empty() {
             return;
         }
-        // The row is kept without replicas: its epoch is the engine's fencing number, and an engine
+        // The row is kept without replicas: its epoch is the engine's fencing token, and an engine
         // that has seen a higher number would refuse a successor that began at 1 again. Entries
         // remove the row once the instance is no longer in the platform's instance list.
         self.finish(out);
--- a/crates/decide/src/side/mod.rs
+++ b/crates/decide/src/side/mod.rs
@@ -32,7 +32,7 @@
 ///
 /// A predecessor sends its last order at most [`VERIFY_MS`] after its last confirmation, which
 /// precedes the successor's claim, and the order is in transit for at most [`ORDER_TRANSIT_MS`].
-/// The successor sends no load order to an engine that ignores fencing numbers before this time.
+/// The successor sends no load order to an engine that ignores fencing tokens before this time.
 pub const ORDER_TTL_MS: u64 = VERIFY_MS + ORDER_TRANSIT_MS + 500;
 /// Interval at which the side reads its own row without a change notification, in milliseconds.
 const READ_INTERVAL_MS: u64 = 5_000;
--- a/crates/decide/src/side/permits.rs
+++ b/crates/decide/src/side/permits.rs
@@ -221,7 +221,8 @@
         }
     }
 
-    /// Releases permits whose minimum holding time passed only after their load had ended.
+    /// Releases permits whose load ended before the minimum holding time had passed, once it has
+    /// passed.
     pub(super) fn release_permits(&mut self, row: &EndpointRow, out: &mut Vec<SideEffect>) -> bool {
         self.record_own_permits();
         let mut txn = Txn::default();
--- a/crates/decide/src/side/reconcile.rs
+++ b/crates/decide/src/side/reconcile.rs
@@ -20,7 +20,7 @@
 impl Side {
     /// Claims the endpoint once both its row and the engine's list have been read.
     ///
-    /// The epoch increases with every side process and is the fencing number of each order. It is
+    /// The epoch increases with every side process and is the fencing token of each order. It is
     /// derived from the row's version too, so that it also increases across a removal of the row:
     /// an engine that has seen a higher number would refuse every order of the successor. The row's
     /// replicas are kept: the memory of a load that the predecessor did not finish stays reserved,
@@ -153,7 +153,7 @@
 
     /// Returns whether no order of a predecessor can reach the engine any more.
     ///
-    /// Before that, an engine that does not check fencing numbers gets no load order, and no
+    /// Before that, an engine that does not check fencing tokens gets no load order, and no
     /// replica is removed from the ledger for any engine: one that checks them learns the new
     /// number only from the first order that carries it.
     pub(super) fn predecessor_orders_expired(&self) -> bool {
@@ -162,7 +162,7 @@
 
     /// Returns whether the engine has room for the peak memory of the load.
     ///
-    /// An engine that ignores fencing numbers may temporarily hold more than the ledger says, so
+    /// An engine that ignores fencing tokens may temporarily hold more than the ledger says, so
     /// each model counts with the larger of its values in the ledger and in the engine's list.
     fn engine_has_room(&self, row: &EndpointRow, replica: &Replica) -> bool {
         let mut total = replica.held_mb();
--- a/crates/decide/src/side/state.rs
+++ b/crates/decide/src/side/state.rs
@@ -29,7 +29,7 @@
         self.calls.records()
     }
 
-    /// Returns the fencing number; 0 before the endpoint is claimed.
+    /// Returns the fencing token; 0 before the endpoint is claimed.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
--- a/crates/decide/src/side/types.rs
+++ b/crates/decide/src/side/types.rs
@@ -23,7 +23,7 @@
     pub memory_mb: u64,
     /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// Whether the engine refuses an order with an outdated fencing number.
+    /// Whether the engine refuses an order with an outdated fencing token.
     pub fencing: bool,
     /// Random number drawn when the process starts.
     pub session: u64,
@@ -112,7 +112,7 @@
         model: String,
         /// The base model's name, for an adapter.
         base: String,
-        /// The fencing number.
+        /// The fencing token.
         fence: u64,
         /// Memory when loaded, in MB.
         memory_mb: u64,
@@ -125,7 +125,7 @@
         order: u64,
         /// The model's name.
         model: String,
-        /// The fencing number.
+        /// The fencing token.
         fence: u64,
     },
     /// Run an offered call.
--- a/crates/decide/tests/side.rs
+++ b/crates/decide/tests/side.rs
@@ -101,7 +101,7 @@
 ///
 /// A side is paused before it sends a load order, and a successor takes over the endpoint. When the
 /// paused side resumes, it receives the answer to a read from before the pause, which still carries
-/// its own epoch. An order based on it would reach an engine that ignores fencing numbers.
+/// its own epoch. An order based on it would reach an engine that ignores fencing tokens.
 #[test]
 fn a_paused_side_gives_no_order_on_an_answer_from_before_the_pause() {
     let mut bench = Bench::new(false, None, 0);
@@ -132,7 +132,7 @@
 
 /// Guards against a successor that orders a load while its predecessor's load is still running.
 ///
-/// If the engine does not check fencing numbers, an order of the predecessor may still be in
+/// If the engine does not check fencing tokens, an order of the predecessor may still be in
 /// transit. The successor sends no load order until no such order can reach the engine any more.
 #[test]
 fn a_successor_waits_out_its_predecessors_orders() {
--- a/crates/gateway/src/http_client.rs
+++ b/crates/gateway/src/http_client.rs
@@ -35,7 +35,7 @@
 /// TCP sends a lost packet again within one second, and a saturated link of 10 Mbit/s queues half a
 /// second of bytes.
 const PART_TIMEOUT_MS: u64 = 1_500;
-/// Milliseconds for a whole body: [`MAX_CONTROL_BYTES`] take 14 s on a link of 10 Mbit/s.
+/// Timeout in milliseconds for a whole body: [`MAX_CONTROL_BYTES`] take 14 s on a link of 10 Mbit/s.
 const BODY_TIMEOUT_MS: u64 = 20_000;
 
 /// Aborts the connection's task when the call is dropped, so that the endpoint sees its caller
--- a/crates/gateway/src/seeds.rs
+++ b/crates/gateway/src/seeds.rs
@@ -22,7 +22,8 @@
     platform_view::PlatformView,
 };
 
-/// Milliseconds for the store to answer before peers are asked: it normally takes a few.
+/// Milliseconds to wait for the store before peers are asked: it normally answers within a few
+/// milliseconds.
 const STORE_GRACE_MS: u64 = 250;
 /// Milliseconds to connect to a peer; some of the configured peers may be down.
 const CONNECT_TIMEOUT_MS: u64 = 150;
--- a/crates/gateway/src/side/endpoint_client.rs
+++ b/crates/gateway/src/side/endpoint_client.rs
@@ -15,9 +15,10 @@
     http_client::{ControlClient, get},
 };
 
-/// Milliseconds for a state report: it normally takes a few, and an old report is useless.
+/// Timeout in milliseconds for a state report: it normally takes a few milliseconds, and an old
+/// report is useless.
 const REPORT_TIMEOUT_MS: u64 = 400;
-/// Milliseconds for the response to an order.
+/// Timeout in milliseconds for the response to an order.
 const ORDER_TIMEOUT_MS: u64 = 400;
 
 /// A call that the control thread requests.
--- a/crates/insight/src/explain.rs
+++ b/crates/insight/src/explain.rs
@@ -7,7 +7,8 @@
 /// Orders for a request's model are related to the request up to this many milliseconds before it
 /// arrived: a load from the weight store takes six seconds.
 const ORDER_WINDOW_MS: u64 = 8_000;
-/// The same for changes of the known state: the member list lags by two seconds.
+/// Changes of the known state are related to the request up to this many milliseconds before it
+/// arrived: the member list lags by two seconds.
 const STATE_WINDOW_MS: u64 = 2_500;
 
 /// Events of sides and entries about loading and unloading models.
--- a/crates/pool/src/check_timer.rs
+++ b/crates/pool/src/check_timer.rs
@@ -1,4 +1,4 @@
-//! When a control thread runs its periodic checks.
+//! Timer for the periodic checks of a control thread.
 
 use citronrill_base::Millis;
 
--- a/crates/pool/src/config_transfer.rs
+++ b/crates/pool/src/config_transfer.rs
@@ -15,7 +15,7 @@
 pub const CHUNK_BYTES: usize = 16 << 10;
 /// Timeout in milliseconds for a chunk, after which another peer is asked for it: a peer on a slow
 /// link serves [`MAX_SERVED`] peers in turn at 13 ms each, and a round trip between zones takes
-/// 3.
+/// 3 ms.
 const CHUNK_TIMEOUT_MS: u64 = 600;
 /// Milliseconds for which a peer is avoided after it sent no chunk in time, or data that is not a
 /// valid configuration.
--- a/crates/pool/src/endpoint.rs
+++ b/crates/pool/src/endpoint.rs
@@ -19,15 +19,15 @@
 /// periods of 500 ms plus a margin.
 pub(crate) const SIDE_SILENT_MS: u64 = 1_100;
 /// Milliseconds after an endpoint is first listed within which its side reports, if it is up: a
-/// lost connection and a reconnect take 250.
+/// lost connection and a reconnect take 250 ms.
 const FIRST_REPORT_MS: u64 = 1_200;
 /// Weight of the latest answer in the moving average of the time to first byte.
 const TTFB_WEIGHT: f64 = 0.25;
 /// Decay time in milliseconds of the average time to first byte: a backlog of prompts is processed
 /// within about a second.
 const TTFB_DECAY_MS: f64 = 1_500.0;
-/// Milliseconds for which a side that declined gets no further load requests: until its next
-/// report.
+/// Backoff in milliseconds before a side that declined a load request gets another one from this
+/// entry.
 pub(crate) const DECLINED_MS: u64 = 150;
 /// Weight of the latest result in the failure average: six failures in a row raise it above one
 /// half.
--- a/crates/pool/src/entry/demand.rs
+++ b/crates/pool/src/entry/demand.rs
@@ -133,9 +133,9 @@
     /// Returns the milliseconds until an endpoint completes a load of a model that is already in
     /// progress.
     ///
-    /// Entries that send load requests at the same moment choose different sides. Before loads for
-    /// other entries were taken into account, five engines loaded a busy model at once, four of
-    /// them from the weight store, which carries four loads at full speed and had no capacity for
+    /// Entries that send load requests at the same moment choose different sides. If loads for other
+    /// entries are not taken into account, five engines load a busy model at once, four of them
+    /// from the weight store, which carries four loads at full speed and then has no capacity for
     /// another model for 6 s.
     pub(super) fn load_remaining_ms(&self, key: ModelKey) -> Option<f64> {
         let sides = self.pool.endpoints.values().filter(|endpoint| {
@@ -177,8 +177,8 @@
 
     /// Requests a load of the model with the highest miss rate, when the weight store has capacity.
     ///
-    /// Requests with less time left than such a load takes are refused at once and wait nowhere;
-    /// without this, their model would never be loaded.
+    /// Requests with less time left than such a load takes are refused immediately and are not
+    /// queued. Without this function, their model would never be loaded.
     pub(super) fn load_missed(&mut self) {
         let now = self.now;
         self.demand.missed.retain(|_, rate| rate.per_s(now) > MISS_FLOOR);
--- a/crates/pool/src/entry/load_requests.rs
+++ b/crates/pool/src/entry/load_requests.rs
@@ -25,9 +25,9 @@
 const DUPLICATE_GAIN_MS: f64 = 500.0;
 /// Milliseconds without confirmation after which a load request is abandoned for another side.
 const CONFIRM_TIMEOUT_MS: u64 = 400;
-/// Remaining milliseconds of an active order that cost as much as a full batch when choosing where
-/// to load an adapter. The endpoint takes no other order meanwhile, and half of the latency
-/// objective of a chat request passes.
+/// Remaining milliseconds of an endpoint's active order that cost as much as a full batch when
+/// choosing where to load an adapter. The endpoint takes no other order in this time, which is half
+/// of the latency objective of a chat request.
 const ORDER_DELAY_MS: f64 = 250.0;
 /// Minimum milliseconds that a request waits while no endpoint has a place for its model. The
 /// active orders at the endpoints end within about a second and free places.
@@ -248,8 +248,8 @@
     ///
     /// All entries prefer the same holder for an adapter, so that the holders' few adapter slots
     /// are not all taken by the same adapters. A holder that is busy with a load takes no adapter
-    /// meanwhile. A holder with a large share of all runs gets the adapter only if the others have
-    /// as many: if it stalled, all callers of the adapter would hang with it.
+    /// until the load ends. A holder with a large share of the service's runs costs more: if it
+    /// stalled, all callers of the adapter would hang with it.
     fn adapter_cost(&self, endpoint: &Endpoint, model: &str, adapter: &str) -> f64 {
         let side = endpoint.fresh_side(self.now);
         let busy = side
--- a/crates/pool/src/entry/placement.rs
+++ b/crates/pool/src/entry/placement.rs
@@ -30,8 +30,8 @@
 /// are 400 to 3,400 ms.
 const DRAIN_MS: f64 = 700.0;
 /// Milliseconds that callers of an endpoint's other models lose while it loads a model, for each
-/// request a second that it serves. One in ten needs an adapter that is not loaded, and waits half
-/// a second.
+/// request a second that it serves. One request in ten needs an adapter that is not loaded, and waits
+/// half a second.
 const LOAD_DELAY_MS: f64 = 50.0;
 /// Milliseconds added to the cost of a load from the weight store: the endpoint takes no other
 /// order during the whole load, and the store is shared by all.
@@ -123,8 +123,8 @@
         if busy {
             ready_ms += BUSY_EVICTION_MS;
         }
-        // An endpoint that loads a model loads no adapter: the more requests it serves, the more
-        // callers wait.
+        // An endpoint loads no adapter while it loads a model. The higher its request rate, the more
+        // callers wait for an adapter.
         let delay = LOAD_DELAY_MS * side.rates.iter().map(|(_, rate)| rate).sum::<f64>();
         let tie_break =
             rendezvous_score(&spec.name, &endpoint.member.instance) as f64 / u64::MAX as f64;
--- a/crates/pool/src/entry/preload.rs
+++ b/crates/pool/src/entry/preload.rs
@@ -23,15 +23,15 @@
 const CHECK_INTERVAL_MS: u64 = 100;
 /// Time horizon, in seconds, for a model's next request.
 const NEXT_USE_S: f64 = 30.0;
-/// Milliseconds after which a request counts 1/e in the rates of rarely used models: most of them
-/// are requested every ten or twenty seconds.
+/// Milliseconds in which the weight of a request decays to 1/e in the rates of rarely used models:
+/// most of them are requested every ten or twenty seconds.
 const DEMAND_DECAY_MS: f64 = 40_000.0;
 /// Horizon for the loss of a model's cached weights, in load times of the weight store: the store
 /// may have to load another model first.
 const LOADS_AHEAD: f64 = 2.0;
 
-/// Milliseconds after which a departed endpoint counts 1/e: a rolling replacement of a service
-/// lasts about as long.
+/// Milliseconds in which the weight of a departed endpoint decays to 1/e: a rolling replacement of a
+/// service lasts about as long.
 const DEPARTURE_DECAY_MS: f64 = 15_000.0;
 /// Milliseconds after the first member list before an entry preloads anything. Right after its
 /// start, few sides have reported their cached weights, and weights that lie on disks would be
--- a/crates/pool/src/entry/replicas.rs
+++ b/crates/pool/src/entry/replicas.rs
@@ -17,14 +17,14 @@
 /// slots were full at 34 requests per second, with a wait of 174 ms for three quarters of the
 /// requests.
 const SLOT_RATE: f64 = 0.9;
-/// Requests per second that one replica serves well whatever its slots. Prompts are read one by one
-/// in 17 ms each, which leaves half of the time for generating tokens.
+/// Requests per second that one replica serves well, regardless of its number of slots. Prompts
+/// are read one by one in 17 ms each, which leaves half of the time for generating tokens.
 const REPLICA_RATE: f64 = 30.0;
 /// Requests per second above which a model gets [`SPARE_REPLICAS`]. Its callers notice a crash of
 /// its only endpoint at once, and weights cached on a second disk bring it back in one second
 /// instead of six.
 const SPARE_RATE: f64 = 6.0;
-/// Minimum replicas of such a model.
+/// Minimum replicas of a model above [`SPARE_RATE`].
 const SPARE_REPLICAS: f64 = 2.0;
 /// Share of a second's requests that a spare replica is worth: one endpoint in twenty crashes
 /// within the horizon, and its model is unavailable for about as long.
--- a/crates/pool/src/entry/resume.rs
+++ b/crates/pool/src/entry/resume.rs
@@ -20,8 +20,8 @@
     endpoint::Endpoint,
 };
 
-/// Milliseconds after which a lost endpoint counts 1/e. Endpoints crash in series, because the
-/// cause of a crash lasts for a minute or more.
+/// Milliseconds in which the weight of a lost endpoint decays to 1/e. Crashes come in series, because
+/// the cause of a crash lasts for a minute or more.
 const LOSS_DECAY_MS: f64 = 60_000.0;
 /// Milliseconds within which losses at one address count as one: all streams there break at once,
 /// and the next incarnation is reported soon after.
--- a/crates/pool/src/entry/rules.rs
+++ b/crates/pool/src/entry/rules.rs
@@ -20,9 +20,9 @@
 
 /// Minimum idle timeout, in milliseconds, of a caller of a stream.
 const IDLE_TIMEOUT_MIN_MS: u64 = 2_000;
-/// The same, in latency objectives.
+/// Minimum idle timeout, as a multiple of the route's latency objective.
 const IDLE_TIMEOUT_TARGETS: u64 = 4;
-/// The same, as a multiple of the longest gap between events that is on time.
+/// Minimum idle timeout, as a multiple of the longest acceptable gap between events.
 const IDLE_TIMEOUT_GAPS: u64 = 8;
 
 /// Returns the milliseconds without an event after which a caller of a stream disconnects: the
--- a/crates/pool/src/incarnation.rs
+++ b/crates/pool/src/incarnation.rs
@@ -1,10 +1,10 @@
-//! Which incarnation of an endpoint a report belongs to.
+//! Detection of endpoint restarts from the start times in reports.
 
 use citronrill_base::Millis;
 
 /// Milliseconds for which an older start time has to be the latest one reported before it is
-/// accepted. A running endpoint writes to the member list every 1,200, and the list is read every
-/// 900: a late write of an earlier incarnation is overwritten by then.
+/// accepted. A running endpoint writes to the member list every 1,200 ms, and the list is read every
+/// 900 ms, so a late write of an earlier incarnation is overwritten within this time.
 pub(crate) const OLDER_START_DELAY_MS: u64 = 2_500;
 
 /// When an endpoint's process started, in Unix milliseconds by its own clock.
--- a/crates/pool/src/liveness.rs
+++ b/crates/pool/src/liveness.rs
@@ -8,7 +8,9 @@
 
 /// Milliseconds without traffic after which a side is probed while its endpoint has requests.
 const PROBE_MS: u64 = 100;
-/// The same while it has none: a side sends its state every 500 to 700 ms.
+/// Milliseconds without traffic after which a side is probed while its endpoint has no requests. A
+/// side sends its state at least every 700 ms: the publish interval of 500 ms plus one idle poll
+/// interval of 200 ms.
 const IDLE_PROBE_MS: u64 = 900;
 /// Milliseconds without a probe reply before other endpoints are preferred.
 const SUSPECT_MS: u64 = 60;
--- a/crates/pool/src/rate.rs
+++ b/crates/pool/src/rate.rs
@@ -2,10 +2,11 @@
 
 use citronrill_base::Millis;
 
-/// Milliseconds after which an event counts 1/e in the slow average: long enough to distinguish a
-/// model requested every few seconds from one that is not requested.
+/// Milliseconds in which the weight of an event decays to 1/e in the slow average: long enough to
+/// distinguish a model requested every few seconds from one that is not requested.
 const SLOW_MS: f64 = 10_000.0;
-/// The same for the fast average, which follows a burst or a shift of demand within a second.
+/// Decay time in milliseconds of the fast average, which follows a burst or a shift of
+/// demand within a second.
 const FAST_MS: f64 = 1_500.0;
 
 /// Events a second: the larger of a slow and a fast average.
--- a/crates/pool/src/side/incarnation_name.rs
+++ b/crates/pool/src/side/incarnation_name.rs
@@ -20,8 +20,9 @@
 #[derive(Debug, Default)]
 pub(super) struct IncarnationName {
     name: Option<String>,
-    /// Whether the endpoint is to be asked, and when it was last asked.
+    /// Whether the endpoint is to be asked for its name.
     query_due: bool,
+    /// When the endpoint was last asked for its name.
     queried_at: Option<Millis>,
     /// When a restart was seen after which the name is still unknown.
     restarted_at: Option<Millis>,
--- a/crates/pool/src/side/missed.rs
+++ b/crates/pool/src/side/missed.rs
@@ -5,8 +5,8 @@
 
 use crate::decaying_count::DecayingCount;
 
-/// Milliseconds after which a request counts 1/e: distinguishes a model that has no replica for ten
-/// seconds from one that two callers happened to request in the same second.
+/// Milliseconds in which the weight of a request decays to 1/e: distinguishes a model that has no
+/// replica for ten seconds from one that two callers happened to request in the same second.
 const DECAY_MS: f64 = 10_000.0;
 /// Requests a second, in thousandths, below which a model is no longer reported: one in twenty
 /// seconds.
--- a/crates/pool/src/side/mod.rs
+++ b/crates/pool/src/side/mod.rs
@@ -33,8 +33,8 @@
     rate::Rate,
 };
 
-/// Milliseconds between polls of the endpoint while an order is in progress: a load takes 440 or
-/// more, and a poll from the same instance costs nothing.
+/// Milliseconds between polls of the endpoint while an order is in progress: a load takes
+/// 440 ms or more, and a poll from the same instance costs nothing.
 const BUSY_POLL_MS: u64 = 20;
 /// Milliseconds between polls while no order is in progress.
 const IDLE_POLL_MS: u64 = 200;
@@ -106,7 +106,7 @@
     last_store_load: Option<Millis>,
     /// Duration of the last load from the weight store relative to its usual one, in thousandths.
     store_slowdown: u32,
-    /// Concurrent loads from the weight store when that one was requested.
+    /// Concurrent loads from the weight store when that load was requested.
     store_concurrent: u32,
     entries: u32,
     published: Option<(Millis, SideState)>,
@@ -454,8 +454,8 @@
         let Some(issued) = self.model_order.as_ref().filter(|issued| issued.from_store) else {
             return 0;
         };
-        let slow = self.slowdown(issued);
-        if slow < LATE_LOAD_MILLI { 0 } else { slow - slow % OVERDUE_STEP }
+        let slowdown = self.slowdown(issued);
+        if slowdown < LATE_LOAD_MILLI { 0 } else { slowdown - slowdown % OVERDUE_STEP }
     }
 
     /// Returns the duration so far of a load from the weight store, in thousandths of its usual
--- a/crates/pool/src/side/orders.rs
+++ b/crates/pool/src/side/orders.rs
@@ -1,4 +1,4 @@
-//! Which order is given next.
+//! Selection of the next order for the endpoint.
 
 use citronrill_base::Millis;
 use citronrill_decide::LogEvent;
--- a/crates/pool/src/side/plan.rs
+++ b/crates/pool/src/side/plan.rs
@@ -1,4 +1,4 @@
-//! Which load requests are accepted, and which models are evicted for them.
+//! Acceptance of load requests, and selection of the models to evict for them.
 
 use citronrill_decide::LogEvent;
 use citronrill_wire::{LoadRequest, ModelName};
--- a/crates/pool/tests/all/placement.rs
+++ b/crates/pool/tests/all/placement.rs
@@ -428,8 +428,8 @@
 
 /// Most streams of a service use one model, which two instances serve without overload. When one of
 /// them stalls, half of all callers hang until they leave, and their runs continue there. A third
-/// instance has free memory and cached weights, so a third replica costs nothing. Replicas were
-/// sized by capacity only, not by the callers lost with one of them.
+/// instance has free memory and cached weights, so a third replica costs nothing. Guards against a
+/// number of replicas that covers the load, but ignores the callers lost when one of them stalls.
 #[test]
 fn replica_is_added_where_many_streams_depend_on_one() {
     let busy_model = [("m0", 10)];
--- a/crates/pool/tests/all/simulation/engines.rs
+++ b/crates/pool/tests/all/simulation/engines.rs
@@ -27,7 +27,7 @@
     pub(super) has_output: bool,
     /// The engine its KV cache is copied to.
     pub(super) backup: Option<usize>,
-    /// Whether it resumes from a copy.
+    /// Whether it resumes from a copy of its KV cache.
     pub(super) copy: bool,
 }
 
--- a/crates/pool/tests/all/simulation/mod.rs
+++ b/crates/pool/tests/all/simulation/mod.rs
@@ -147,7 +147,7 @@
     models: BTreeMap<(usize, RequestId), String>,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, SimEvent>,
-    next: u64,
+    next_id: u64,
     list_version: u64,
     stats: Stats,
     /// Duration of a run, in milliseconds.
@@ -210,7 +210,7 @@
             models: BTreeMap::new(),
             heap: BinaryHeap::new(),
             events: BTreeMap::new(),
-            next: 0,
+            next_id: 0,
             list_version: 0,
             stats: Stats::default(),
             run_ms: RUN_MS,
@@ -274,9 +274,9 @@
     }
 
     fn schedule(&mut self, at: u64, event: SimEvent) {
-        self.next += 1;
-        self.heap.push(Reverse((at, self.next)));
-        self.events.insert(self.next, event);
+        self.next_id += 1;
+        self.heap.push(Reverse((at, self.next_id)));
+        self.events.insert(self.next_id, event);
     }
 
     fn after_hop(&mut self, event: SimEvent) {
@@ -315,7 +315,7 @@
             }
             SimEvent::RunCancelled(engine, entry, id) => self.cancel_run(engine, entry, id),
             SimEvent::CallerLeaves(entry, id) => self.caller_leaves(entry, id),
-            SimEvent::Stall(for_ms) => self.stall_engine(for_ms),
+            SimEvent::Stall(duration_ms) => self.stall_engine(duration_ms),
             SimEvent::Tick => self.tick(),
             SimEvent::MemberList => self.send_member_list(),
             SimEvent::Crash => self.crash(),
@@ -335,8 +335,8 @@
 
     fn arrive(&mut self, busy: bool, load: &Load) {
         let entry = self.rng.random_range(0..self.entries.len());
-        self.next += 1;
-        let id = RequestId(self.next);
+        self.next_id += 1;
+        let id = RequestId(self.next_id);
         let model =
             if busy { "busy".to_owned() } else { rare(self.rng.random_range(0..load.rare_models)) };
         let (path, limit) = if busy { ("/chat/x", 5_000) } else { ("/draft/x", 15_000) };
--- a/crates/pool/tests/all/simulation/stall.rs
+++ b/crates/pool/tests/all/simulation/stall.rs
@@ -18,7 +18,7 @@
     /// Time at which the instance with the most runs stalls, in milliseconds.
     pub(crate) at: u64,
     /// Duration of the stall, in milliseconds.
-    pub(crate) for_ms: u64,
+    pub(crate) duration_ms: u64,
     /// Start of the period in which arriving callers may leave early, in milliseconds.
     pub(crate) leave_from: u64,
     /// End of that period, in milliseconds.
@@ -45,14 +45,14 @@
     /// Schedules a stall of the instance with the most runs.
     pub(crate) fn stall_busiest(&mut self, stall: Stall) {
         self.stall = Some(stall);
-        self.schedule(stall.at, SimEvent::Stall(stall.for_ms));
+        self.schedule(stall.at, SimEvent::Stall(stall.duration_ms));
     }
 
     /// Stalls the instance with the most runs.
-    pub(super) fn stall_engine(&mut self, for_ms: u64) {
+    pub(super) fn stall_engine(&mut self, duration_ms: u64) {
         let most = (0..self.engines.len()).max_by_key(|index| self.engines[*index].runs.len());
         let Some(index) = most else { return };
-        self.stalls.insert(index, (self.now, self.now + for_ms));
+        self.stalls.insert(index, (self.now, self.now + duration_ms));
     }
 
     /// Returns the end of the stall of an engine that is stalled now.
--- a/crates/pool/tests/all/stalls.rs
+++ b/crates/pool/tests/all/stalls.rs
@@ -58,7 +58,7 @@
     simulation.run_ms = 800;
     simulation.stall_busiest(Stall {
         at: 8_000,
-        for_ms: 6_000,
+        duration_ms: 6_000,
         leave_from: 7_000,
         leave_to: 12_000,
         share: 0.5,
--- a/crates/pool/tests/all/support.rs
+++ b/crates/pool/tests/all/support.rs
@@ -127,8 +127,8 @@
     Member { on_disk: kept, ..member(index, ENGINE, models) }
 }
 
-/// State reported by the side of such an endpoint, with the request rate (per second) of each
-/// model.
+/// State reported by the side of an endpoint created by [`bare`], with the request rate (per second)
+/// of each model.
 pub(crate) fn state_with_rates(models: &[(&str, u32)]) -> SideState {
     let model = |(name, rate): &(&str, u32)| ModelState {
         name: (*name).to_owned(),
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -80,7 +80,7 @@
     opener: bool,
     opened: Instant,
     last_received: AtomicU64,
-    due_since: AtomicU64,
+    unanswered_since: AtomicU64,
     last_used: AtomicU64,
     attached: AtomicUsize,
     remote_clock: Mutex<Option<(u64, Instant)>>,
@@ -129,7 +129,7 @@
             opener,
             opened: Instant::now(),
             last_received: AtomicU64::new(0),
-            due_since: AtomicU64::new(u64::MAX),
+            unanswered_since: AtomicU64::new(u64::MAX),
             last_used: AtomicU64::new(0),
             attached: AtomicUsize::new(0),
             remote_clock: Mutex::new(None),
@@ -237,7 +237,7 @@
                     last_ping = Instant::now();
                     let _ = encode(&Ping {}.into(), &mut buffer);
                     let now = self.elapsed_ms();
-                    let _ = self.due_since.compare_exchange(
+                    let _ = self.unanswered_since.compare_exchange(
                         u64::MAX,
                         now,
                         Ordering::AcqRel,
@@ -267,7 +267,7 @@
             match reader.next_frame() {
                 Ok(kind) => {
                     self.last_received.store(self.elapsed_ms(), Ordering::Release);
-                    self.due_since.store(u64::MAX, Ordering::Release);
+                    self.unanswered_since.store(u64::MAX, Ordering::Release);
                     context.meter.add_bytes(0, reader.bytes_read() - counted_bytes);
                     counted_bytes = reader.bytes_read();
                     self.handle_frame(kind, context, sink);
@@ -302,8 +302,8 @@
         if !self.opener {
             return elapsed_since(&self.last_received) >= ACCEPTED_TIMEOUT;
         }
-        let due = self.due_since.load(Ordering::Acquire);
-        let overdue = due != u64::MAX && elapsed_since(&self.due_since) >= SILENCE_TIMEOUT;
+        let due = self.unanswered_since.load(Ordering::Acquire);
+        let overdue = due != u64::MAX && elapsed_since(&self.unanswered_since) >= SILENCE_TIMEOUT;
         let unused = self.attached.load(Ordering::Acquire) == 0
             && elapsed_since(&self.last_used) >= IDLE_TIMEOUT;
         overdue || unused
--- a/crates/runtime/src/side/calls.rs
+++ b/crates/runtime/src/side/calls.rs
@@ -294,7 +294,7 @@
         };
         let active_calls = self.active_calls;
         let mut state = self.exchange.lock();
-        // The end frame takes its place in the sequence even if the window is full.
+        // The end frame is stored and sent even if the window is full.
         let sequence = state.next_part;
         let frame: Frame = wire::ResponseEnd { number, sequence, complete, active_calls }.into();
         state.next_part += 1;
