--- a/crates/decide/src/call.rs
+++ b/crates/decide/src/call.rs
@@ -23,7 +23,7 @@
     pub org: String,
     /// Priority class.
     pub class: Class,
-    /// Session of the side process that the call is meant for; any other one declines it.
+    /// Session of the side process that the call is meant for; any other process declines it.
     pub session: u64,
     /// Time on that side process's clock, in milliseconds, after which the call must not start.
     pub expires: u64,
--- a/crates/decide/src/entry/coordinator.rs
+++ b/crates/decide/src/entry/coordinator.rs
@@ -18,16 +18,18 @@
     rows::{PERMITS, Phase, endpoint_key},
 };
 
-/// Time that a coordinator has to act on a demand before the next one is asked, in milliseconds.
+/// Time that a coordinator has to act on a demand before the next coordinator is asked, in
+/// milliseconds.
 const COORDINATOR_TIMEOUT_MS: u64 = 400;
 /// Number of coordinators that are asked before the entry decides for itself.
 const COORDINATOR_ATTEMPTS: usize = 2;
 /// An overload of the ready replicas that lasts this long adds a replica, in milliseconds.
 const SCALE_OUT_MS: u64 = 500;
-/// A replica counts as overloaded when as many requests wait as its slots divided by this.
+/// The ready replicas are overloaded when the number of waiting requests reaches the slots of one
+/// replica divided by this.
 const OVERLOAD_DIVISOR: u64 = 2;
-/// The use of a warm model is reported again after its keep time divided by this, between
-/// the two limits below.
+/// The use of a warm model is reported again after its keep time divided by this, clamped to the
+/// two limits below.
 const REPORT_DIVISOR: u64 = 2;
 pub(super) const REPORT_MIN_MS: u64 = 1_000;
 const REPORT_MAX_MS: u64 = 30_000;
@@ -200,7 +202,7 @@
         if demand.waiting == 0 {
             return coordination.traffic.report(now);
         }
-        coordination.traffic.last = now;
+        coordination.traffic.last_request = now;
         let deadline = now + demand.slack_ms;
         let merged = match coordination.demand {
             Some(pending) => PendingDemand {
@@ -237,17 +239,17 @@
     /// Retries decisions whose conflict backoff is over or whose read has timed out.
     pub(super) fn retry_loads(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
-        let due = |coordination: &Coordination| {
-            let late = coordination.pending_read.as_ref();
-            let late = late.is_some_and(|(at, _)| now.since(*at) >= READ_TIMEOUT_MS);
+        let is_due = |coordination: &Coordination| {
+            let pending_read = coordination.pending_read.as_ref();
+            let timed_out = pending_read.is_some_and(|(at, _)| now.since(*at) >= READ_TIMEOUT_MS);
             coordination.demand.is_some()
-                && (late || coordination.conflicts > 0)
+                && (timed_out || coordination.conflicts > 0)
                 && coordination.retry_at <= now
         };
         let due = self
             .coordinations
             .iter()
-            .filter(|(_, coordination)| due(coordination))
+            .filter(|(_, coordination)| is_due(coordination))
             .map(|(model, _)| *model);
         for model in due.collect::<Vec<_>>() {
             self.decide_load(model, out);
@@ -262,10 +264,11 @@
         let Some((endpoint, _)) = decided else { return false };
         let coordination = self.coordination(model);
         let requesters = std::mem::take(&mut coordination.requesters);
-        let earlier = std::mem::replace(&mut coordination.subscribers, requesters.clone());
+        let previous_subscribers =
+            std::mem::replace(&mut coordination.subscribers, requesters.clone());
         self.announce(model, endpoint, out);
         let coordination = self.coordination(model);
-        coordination.subscribers = earlier;
+        coordination.subscribers = previous_subscribers;
         for requester in requesters {
             if !coordination.subscribers.contains(&requester) {
                 coordination.subscribers.push(requester);
@@ -284,12 +287,12 @@
         if self.is_pending(&Purpose::Load(model)) || !self.store_up || self.in_cooldown(model) {
             return;
         }
-        let waits = |coordination: &Coordination| {
-            let reading = coordination.pending_read.as_ref();
-            let reading = reading.is_some_and(|(at, _)| self.now.since(*at) < READ_TIMEOUT_MS);
+        let must_wait = |coordination: &Coordination| {
+            let pending_read = coordination.pending_read.as_ref();
+            let reading = pending_read.is_some_and(|(at, _)| self.now.since(*at) < READ_TIMEOUT_MS);
             reading || coordination.retry_at > self.now
         };
-        if self.coordinations.get(&model).is_some_and(waits) {
+        if self.coordinations.get(&model).is_some_and(must_wait) {
             return;
         }
         if let Some(replicas) = self.replicas_needed(model) {
@@ -314,15 +317,15 @@
         // second replica would be loaded for nothing.
         let endpoint =
             self.view.replicas(model).next().and_then(|(key, _)| self.view.endpoint(key));
-        let enough = endpoint.map_or(1, |row| row.slots / OVERLOAD_DIVISOR);
+        let overload_threshold = endpoint.map_or(1, |row| row.slots / OVERLOAD_DIVISOR);
         let waiting = self.coordinations.get(&model).and_then(|coordination| coordination.demand);
-        if waiting.is_none_or(|demand| demand.waiting < enough) {
+        if waiting.is_none_or(|demand| demand.waiting < overload_threshold) {
             return None;
         }
         let coordination = self.coordination(model);
         coordination.last_overload = now;
-        let since = *coordination.overloaded_since.get_or_insert(now);
-        (now.since(since) >= SCALE_OUT_MS).then_some(decided + 1)
+        let overloaded_since = *coordination.overloaded_since.get_or_insert(now);
+        (now.since(overloaded_since) >= SCALE_OUT_MS).then_some(decided + 1)
     }
 
     fn try_load(&mut self, request: &ReplicaRequest, out: &mut Vec<Effect>) {
@@ -380,17 +383,17 @@
     /// Resumes the decisions whose rows have been read.
     pub(super) fn resume_after_read(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
         let now = self.now;
-        let has = |key: &String| rows.iter().any(|row| row.key == *key);
-        let mut due = Vec::new();
+        let was_read = |key: &String| rows.iter().any(|row| row.key == *key);
+        let mut resumed_models = Vec::new();
         for (model, coordination) in &mut self.coordinations {
             if let Some((_, keys)) =
-                coordination.pending_read.take_if(|(_, keys)| keys.iter().all(has))
+                coordination.pending_read.take_if(|(_, keys)| keys.iter().all(was_read))
             {
                 coordination.last_read = Some((now, keys));
-                due.push(*model);
+                resumed_models.push(*model);
             }
         }
-        for model in due {
+        for model in resumed_models {
             self.decide_load(model, out);
         }
     }
--- a/crates/decide/src/entry/mod.rs
+++ b/crates/decide/src/entry/mod.rs
@@ -271,7 +271,8 @@
     fn run_feed(&mut self, out: &mut Vec<Effect>) {
         let jitter = self.random();
         let mut effects = Vec::new();
-        // Borrowed: cloning all members on every tick took most of an idle entry's CPU time.
+        // The members are borrowed: cloning all of them on every tick took most of an idle entry's
+        // CPU time.
         let listed;
         let peers = if self.members.is_empty() {
             listed = self.listed_entries();
@@ -284,7 +285,8 @@
         self.update_store_state(out);
     }
 
-    /// Entries of the platform's instance list, used until the platform table has member rows.
+    /// Returns the entry processes in the platform's instance list, used until the platform
+    /// table has member rows.
     fn listed_entries(&self) -> Vec<Peer> {
         let listed = self.instances.values().filter(|instance| instance.entry && !instance.leaving);
         listed.map(|instance| instance.peer.clone()).collect()
@@ -365,8 +367,8 @@
             zone: row.zone.clone(),
         });
         let members = members.collect::<Vec<_>>();
-        // The review computes a hash per member and warm model. The instance list is read every
-        // 2 s, so unchanged members must not cause a review.
+        // `review_coordinations` computes a hash per member and warm model. The instance list is
+        // read every 2 s, so it must not run while the members are unchanged.
         if members != self.members {
             self.members = members;
             self.review_coordinations();
@@ -475,7 +477,7 @@
         }
     }
 
-    /// Names of the members in the order in which they coordinate `item`.
+    /// Names of the members in the order in which they are asked to coordinate `item`.
     fn coordinators(&self, item: &str) -> Vec<&str> {
         rendezvous_order(item, self.members.iter().map(|peer| peer.name.as_str()))
     }
--- a/crates/decide/src/entry/requests.rs
+++ b/crates/decide/src/entry/requests.rs
@@ -92,7 +92,7 @@
             deadline,
             sent_at: self.now,
             repeatable: resolved.repeatable,
-            prefix_hash: incoming.prefix,
+            prefix_hash: incoming.prefix_hash,
             attempts: 0,
             excluded: Vec::new(),
             owner: 0,
@@ -428,7 +428,8 @@
                 self.health_mut(endpoint).busy_until = until;
             }
             Decline::Leaving => {
-                // The decline comes from the side that was asked; another may own the endpoint now.
+                // The decline comes from the side that received the call; another side may own the
+                // endpoint now.
                 let owner = self.requests[&id].owner;
                 self.health_mut(endpoint).leaving_owner = Some(owner);
             }
@@ -530,13 +531,13 @@
         self.refuse(id, refusal, out);
     }
 
-    /// Marks the endpoint as suspect if the side that was asked still owns it.
+    /// Marks the endpoint as suspect if the side to which the call was sent still owns it.
     ///
     /// Calls lost by an earlier side process are no evidence against the current one.
     fn suspect_owner(&mut self, id: RequestId, endpoint: EndpointKey) {
-        let called = self.requests.get(&id).map(|request| request.owner);
-        let current = self.view.endpoint(endpoint).map(owner);
-        if called == current {
+        let called_owner = self.requests.get(&id).map(|request| request.owner);
+        let current_owner = self.view.endpoint(endpoint).map(owner);
+        if called_owner == current_owner {
             self.suspect(endpoint);
         }
     }
--- a/crates/decide/src/entry/types.rs
+++ b/crates/decide/src/entry/types.rs
@@ -51,7 +51,7 @@
     /// Hash of the request's body.
     pub body_hash: u64,
     /// Hash of the prompt's prefix; 0 if there is none.
-    pub prefix: u64,
+    pub prefix_hash: u64,
 }
 
 /// The model or plain service that a request is for.
--- a/crates/decide/src/entry/unload.rs
+++ b/crates/decide/src/entry/unload.rs
@@ -21,7 +21,7 @@
 
 impl Entry {
     /// Unloads another replica of an organisation whose share is used up, to make room for `model`.
-    /// Returns whether such a replica is being unloaded or can be.
+    /// Returns whether another replica is being unloaded or can be unloaded.
     ///
     /// The side refuses to unload a model that was used recently, so a wrong choice costs only a
     /// write.
@@ -117,7 +117,7 @@
             }
             return;
         }
-        let idle = self.now.since(self.coordinations[&model].traffic.last);
+        let idle = self.now.since(self.coordinations[&model].traffic.last_request);
         if self.queues.contains_key(&Target::Model(model)) {
             return;
         }
@@ -134,9 +134,9 @@
 
     /// Unloads one replica of an idle model.
     ///
-    /// A side with calls of the model in flight keeps it and reports so in its row. It is asked
-    /// again only after another keep time; otherwise a long answer would cost the platform table
-    /// two writes per second.
+    /// A side with calls of the model in flight keeps the replica and reports this in its row. The
+    /// side is asked again only after another keep time; otherwise a long answer would cost the
+    /// platform table two writes per second.
     pub(super) fn unload_next(
         &mut self,
         model: ModelKey,
@@ -155,12 +155,12 @@
         self.unload(model, endpoint, "idle", out);
     }
 
-    /// Drops the state of a model without replicas; the next report creates it again.
+    /// Drops the state of a model without replicas; the next report of use creates it again.
     pub(super) fn drop_unloaded(&mut self, model: ModelKey) {
         let Some(coordination) = self.coordinations.get(&model) else { return };
         // The time of the last request is kept as long as the gap histogram can tell gaps apart.
-        let old = self.now.since(coordination.traffic.last) > MAX_GAP_MS;
-        if coordination.demand.is_none() && old {
+        let past_max_gap = self.now.since(coordination.traffic.last_request) > MAX_GAP_MS;
+        if coordination.demand.is_none() && past_max_gap {
             self.coordinations.remove(&model);
         }
     }
@@ -205,20 +205,20 @@
         }
         let Some(row) = self.view.endpoint(endpoint) else { return };
         let name = self.model_name(model).to_owned();
-        let mut next = row.clone();
-        for replica in &mut next.replicas {
+        let mut updated_row = row.clone();
+        for replica in &mut updated_row.replicas {
             let affected = replica.model == name || replica.base == name;
             if affected && replica.phase() == Phase::Ready {
                 replica.phase = Phase::Unloading.into();
             }
         }
-        if next == *row {
+        if updated_row == *row {
             return;
         }
         let mut txn = Txn::default();
         let endpoint_name = self.view.endpoint_name(endpoint).to_owned();
         let version = self.view.endpoint_version(endpoint);
-        txn.put(endpoint_key(&endpoint_name), version, Some(next.encode_to_vec()));
+        txn.put(endpoint_key(&endpoint_name), version, Some(updated_row.encode_to_vec()));
         if let Some(coordination) = self.coordinations.get(&model) {
             let versioned = self.view.model(model);
             let mut row = versioned.row.unwrap_or_default();
--- a/crates/decide/src/feed.rs
+++ b/crates/decide/src/feed.rs
@@ -89,13 +89,13 @@
 struct PendingRequest {
     id: u64,
     source: Source,
-    at: Millis,
+    sent_at: Millis,
 }
 
 #[derive(Debug)]
 struct Pull {
     since: u64,
-    at: Millis,
+    received_at: Millis,
 }
 
 /// Feed of one entry: the rows that it has received, and the source that it pulls from.
@@ -137,7 +137,11 @@
     /// Sends the next request if it is due, and answers pulls that were held long enough.
     pub fn tick(&mut self, now: Millis, peers: &[Peer], jitter: u64, out: &mut Vec<FeedEffect>) {
         self.answer_pulls(now, out);
-        if self.pending.as_ref().is_some_and(|pending| now.since(pending.at) >= SOURCE_TIMEOUT_MS) {
+        if self
+            .pending
+            .as_ref()
+            .is_some_and(|pending| now.since(pending.sent_at) >= SOURCE_TIMEOUT_MS)
+        {
             self.request_failed(now);
         }
         if self.fallback > 0 && now.since(self.fallback_since) >= PARENT_RETRY_MS {
@@ -161,7 +165,7 @@
         self.next_at = now + pause + jitter % (pause / 2 + 1);
         self.next_id += 1;
         let (id, since) = (self.next_id, self.sequence);
-        self.pending = Some(PendingRequest { id, source: source.clone(), at: now });
+        self.pending = Some(PendingRequest { id, source: source.clone(), sent_at: now });
         out.push(FeedEffect::Pull { id, source, since });
     }
 
@@ -218,7 +222,7 @@
             self.request_failed(now);
             return Vec::new();
         };
-        let at = pending.at - page.age_ms;
+        let at = pending.sent_at - page.age_ms;
         let stale = now.since(at) >= STALE_MS;
         if stale && pending.source != Source::Table {
             self.try_next_source(now);
@@ -261,14 +265,14 @@
 
     /// Registers a child's pull for rows after `since`, and answers the pulls that are due.
     pub fn pull(&mut self, now: Millis, pull: u64, since: u64, out: &mut Vec<FeedEffect>) {
-        self.pulls.insert(pull, Pull { since, at: now });
+        self.pulls.insert(pull, Pull { since, received_at: now });
         self.answer_pulls(now, out);
     }
 
     /// Answers the pulls for which there are new rows or that were held long enough.
     pub fn answer_pulls(&mut self, now: Millis, out: &mut Vec<FeedEffect>) {
         let sequence = self.sequence;
-        let due = |pull: &Pull| pull.since < sequence || now.since(pull.at) >= HOLD_MS;
+        let due = |pull: &Pull| pull.since < sequence || now.since(pull.received_at) >= HOLD_MS;
         let ids = self.pulls.iter().filter(|(_, pull)| due(pull)).map(|(id, _)| *id);
         for id in ids.collect::<Vec<_>>() {
             let Some(pull) = self.pulls.remove(&id) else { continue };
--- a/crates/decide/src/keepalive.rs
+++ b/crates/decide/src/keepalive.rs
@@ -180,11 +180,11 @@
     /// Traffic statistics.
     pub stats: TrafficStats,
     /// Time of the last reported request, or of the start as the coordinator.
-    pub last: Millis,
+    pub last_request: Millis,
     /// Whether a request was reported in the current time slot.
     pub active: bool,
     /// Whether this coordinator has received a report of use; the first one records no gap, since
-    /// the time of the request before it is not known.
+    /// the time of the previous request is not known.
     pub request_seen: bool,
 }
 
@@ -192,15 +192,15 @@
     /// Creates the traffic of a model for which this process has just become the coordinator.
     pub fn new(row: Option<&ModelRow>, now: Millis) -> Traffic {
         let stats = row.map(TrafficStats::from_row).unwrap_or_default();
-        Traffic { stats, last: now, active: false, request_seen: false }
+        Traffic { stats, last_request: now, active: false, request_seen: false }
     }
 
     /// Records a report of requests.
     pub fn report(&mut self, now: Millis) {
         if self.request_seen {
-            self.stats.observe_gap(now.since(self.last));
+            self.stats.observe_gap(now.since(self.last_request));
         }
-        self.last = now;
+        self.last_request = now;
         self.request_seen = true;
         self.active = true;
     }
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -183,14 +183,14 @@
     }
 }
 
-/// Restricts an adapter to endpoints that have its base model, if there is one among the options
-/// or the base has all its replicas.
+/// Restricts an adapter to endpoints that have its base model, if the options include such an
+/// endpoint or the base already has its maximum number of replicas.
 fn keep_with_base(input: &PlacementInput<'_>, model: &Model, options: &mut Vec<PlacementOption>) {
     let Some(base) = model.base else { return };
-    let with_base = options.iter().any(|place| place.models.len() == 1);
+    let base_available = options.iter().any(|place| place.models.len() == 1);
     let decided = input.view.model_row(base).map_or(0, |row| row.holders.len() as u64);
     let limit = input.catalogue.models.get(&base).map_or(0, |model| model.replicas);
-    if with_base || decided >= limit {
+    if base_available || decided >= limit {
         options.retain(|place| place.models.len() == 1);
     }
 }
--- a/crates/decide/src/side/ledger.rs
+++ b/crates/decide/src/side/ledger.rs
@@ -54,8 +54,8 @@
 
     /// Treats a transaction that timed out as in doubt; its version checks keep a late commit safe.
     fn time_out_txn(&mut self) {
-        let slow = |since| self.now.since(since) >= TABLE_TIMEOUT_MS;
-        if self.txn.as_ref().is_some_and(|pending| slow(pending.sent_at)) {
+        let timed_out = |since| self.now.since(since) >= TABLE_TIMEOUT_MS;
+        if self.txn.as_ref().is_some_and(|pending| timed_out(pending.sent_at)) {
             self.txn = None;
             self.mark_in_doubt();
         }
@@ -115,8 +115,8 @@
 
     /// Updates the phase of every replica for which the engine's list is ahead, in one transaction.
     fn update_phases(&mut self, row: &EndpointRow, out: &mut Vec<SideEffect>) -> bool {
-        let mut next = row.clone();
-        for replica in &mut next.replicas {
+        let mut updated_row = row.clone();
+        for replica in &mut updated_row.replicas {
             let ready = self.engine_has(&replica.model, true);
             match replica.phase() {
                 Phase::Loading if ready => replica.phase = Phase::Ready.into(),
@@ -131,15 +131,15 @@
                 _ => {}
             }
         }
-        unload_adapters(&mut next);
-        if next == *row {
+        unload_adapters(&mut updated_row);
+        if updated_row == *row {
             return false;
         }
         let mut txn = Txn::default();
-        self.add_permit_release(&next, &mut txn);
+        self.add_permit_release(&updated_row, &mut txn);
         let key = endpoint_key(&self.profile.endpoint);
-        txn.put(key, self.row.version, Some(next.encode_to_vec()));
-        for (old, new) in row.replicas.iter().zip(&next.replicas) {
+        txn.put(key, self.row.version, Some(updated_row.encode_to_vec()));
+        for (old, new) in row.replicas.iter().zip(&updated_row.replicas) {
             if old.phase != new.phase {
                 if new.phase() == Phase::Ready {
                     self.calls.touch(&new.model, self.now);
@@ -174,10 +174,10 @@
     ///
     /// It stays in the ledger until an engine list requested after the last order no longer has it.
     fn can_remove(&self, row: &EndpointRow, replica: &Replica) -> bool {
-        let held = self.engine_has(&replica.model, false);
+        let on_engine = self.engine_has(&replica.model, false);
         let order_pending = self.orders.values().any(|order| order.model == replica.model);
         let has_adapters = row.replicas.iter().any(|other| other.base == replica.model);
-        if held || order_pending || has_adapters || !self.predecessor_orders_expired() {
+        if on_engine || order_pending || has_adapters || !self.predecessor_orders_expired() {
             return false;
         }
         match replica.phase() {
@@ -306,8 +306,8 @@
                 running || in_transition || self.recently_used(&member.model)
             });
             if !busy && replica.model != wanted.base {
-                let last = self.calls.last_used(&replica.model).unwrap_or_default();
-                let idle_ms = self.now.since(last);
+                let last_use = self.calls.last_used(&replica.model).unwrap_or_default();
+                let idle_ms = self.now.since(last_use);
                 idle.push((idle_ms / replica.load_ms.max(1), replica.order));
             }
         }
--- a/crates/decide/src/side/permits.rs
+++ b/crates/decide/src/side/permits.rs
@@ -91,8 +91,8 @@
         first.is_none_or(|first| first.order == order) || timed_out
     }
 
-    /// Joins the queue for a permit, or reads it again once the polling interval has passed;
-    /// returns whether a transaction was started.
+    /// Joins the queue for a permit, or reads the permits again once the polling interval has
+    /// passed; returns whether a transaction was started.
     fn wait_for_permit(
         &mut self,
         mut permits_row: PermitsRow,
@@ -176,7 +176,7 @@
 
     /// Adds to `txn` the release of this endpoint's permits whose load has ended and that were held
     /// for the minimum time, and the removal of its waiters that are no longer wanted.
-    pub(super) fn add_permit_release(&self, next: &EndpointRow, txn: &mut Txn) {
+    pub(super) fn add_permit_release(&self, updated_row: &EndpointRow, txn: &mut Txn) {
         let own = &self.profile.endpoint;
         let Some(row) = &self.permits_row.row else { return };
         let holds_permit = row.permits.iter().any(|permit| permit.endpoint == *own);
@@ -186,7 +186,7 @@
         let mut permits_row = row.clone();
         let before = permits_row.permits.len() + permits_row.waiters.len();
         let phase = |order: u64| {
-            next.replicas.iter().find(|replica| replica.order == order).map(Replica::phase)
+            updated_row.replicas.iter().find(|replica| replica.order == order).map(Replica::phase)
         };
         let hold_ms = permits_row.concurrent_loads * 1000 / permits_row.loads_per_second.max(1);
         permits_row.permits.retain(|permit| {
--- a/crates/decide/src/side/reconcile.rs
+++ b/crates/decide/src/side/reconcile.rs
@@ -153,9 +153,9 @@
 
     /// Returns whether no order of a predecessor can reach the engine any more.
     ///
-    /// Before that, an engine that does not check fencing tokens gets no load order, and no
-    /// replica is removed from the ledger for any engine: one that checks them learns the new
-    /// number only from the first order that carries it.
+    /// Until then, an engine that does not check fencing tokens gets no load order, and no replica
+    /// is removed from the ledger for any engine: an engine that checks fencing tokens learns the
+    /// new token only from the first order that carries it.
     pub(super) fn predecessor_orders_expired(&self) -> bool {
         self.epoch == 1 || self.now.since(self.owned_since) >= ORDER_TTL_MS
     }
--- a/crates/decide/tests/entry.rs
+++ b/crates/decide/tests/entry.rs
@@ -104,7 +104,7 @@
         deadline_ms: None,
         idempotency_key: None,
         body_hash: 0,
-        prefix: 0,
+        prefix_hash: 0,
     })
 }
 
--- a/crates/decide/tests/side.rs
+++ b/crates/decide/tests/side.rs
@@ -39,17 +39,17 @@
 }
 
 /// A side with a table that stores only the side's row.
-struct Bench {
+struct Harness {
     side: Side,
     row: Row,
     now: u64,
 }
 
-impl Bench {
-    fn new(fencing: bool, row: Option<EndpointRow>, version: u64) -> Bench {
+impl Harness {
+    fn new(fencing: bool, row: Option<EndpointRow>, version: u64) -> Harness {
         let body = row.map(|row| row.encode_to_vec());
         let row = Row { key: endpoint_key("e"), version, body };
-        Bench { side: Side::new(profile(fencing), Millis(1_000)), row, now: 1_000 }
+        Harness { side: Side::new(profile(fencing), Millis(1_000)), row, now: 1_000 }
     }
 
     fn step(&mut self, event: SideEvent) -> Vec<SideEffect> {
@@ -104,28 +104,28 @@
 /// its own epoch. An order based on it would reach an engine that ignores fencing tokens.
 #[test]
 fn a_paused_side_gives_no_order_on_an_answer_from_before_the_pause() {
-    let mut bench = Bench::new(false, None, 0);
-    bench.settle(&EngineReport::default());
-    assert_eq!(bench.side.epoch(), 1);
-    let mut row: EndpointRow = decode(&bench.row.body).unwrap();
+    let mut harness = Harness::new(false, None, 0);
+    harness.settle(&EngineReport::default());
+    assert_eq!(harness.side.epoch(), 1);
+    let mut row: EndpointRow = decode(&harness.row.body).unwrap();
     row.replicas.push(loading("m"));
-    bench.row = Row { version: 50, body: Some(row.encode_to_vec()), ..bench.row.clone() };
-    bench.now += 10_000;
-    let effects = bench.step(SideEvent::RowChanged("home".to_owned()));
+    harness.row = Row { version: 50, body: Some(row.encode_to_vec()), ..harness.row.clone() };
+    harness.now += 10_000;
+    let effects = harness.step(SideEvent::RowChanged("home".to_owned()));
     let read = effects.iter().find_map(|effect| match effect {
         SideEffect::Read(id, _) => Some(*id),
         _ => None,
     });
-    let before_pause = bench.row.clone();
-    bench.now += VERIFY_MS + 60_000;
-    let after_pause = bench.step(SideEvent::Rows(read.unwrap(), vec![before_pause]));
-    let listed = bench.step(SideEvent::EngineListed(Some(EngineReport::default())));
+    let before_pause = harness.row.clone();
+    harness.now += VERIFY_MS + 60_000;
+    let after_pause = harness.step(SideEvent::Rows(read.unwrap(), vec![before_pause]));
+    let listed = harness.step(SideEvent::EngineListed(Some(EngineReport::default())));
     assert_eq!(loads(&after_pause) + loads(&listed), 0);
     // The next read shows the successor's epoch.
     row.epoch = 2;
-    bench.row = Row { version: 51, body: Some(row.encode_to_vec()), ..bench.row.clone() };
-    bench.now += 4_000;
-    let after = bench.settle(&EngineReport::default());
+    harness.row = Row { version: 51, body: Some(row.encode_to_vec()), ..harness.row.clone() };
+    harness.now += 4_000;
+    let after = harness.settle(&EngineReport::default());
     assert_eq!(loads(&after), 0);
     assert!(after.contains(&SideEffect::Superseded), "{after:?}");
 }
@@ -139,10 +139,10 @@
     let mut row = EndpointRow { epoch: 1, memory_mb: 100, ..EndpointRow::default() };
     row.replicas.push(loading("m"));
     for (fencing, expected) in [(true, 1), (false, 0)] {
-        let mut bench = Bench::new(fencing, Some(row.clone()), 3);
-        assert_eq!(loads(&bench.settle(&EngineReport::default())), expected, "{fencing}");
-        bench.now += 4_500;
-        let later = bench.settle(&EngineReport::default());
+        let mut harness = Harness::new(fencing, Some(row.clone()), 3);
+        assert_eq!(loads(&harness.settle(&EngineReport::default())), expected, "{fencing}");
+        harness.now += 4_500;
+        let later = harness.settle(&EngineReport::default());
         assert_eq!(loads(&later), 1 - expected, "{fencing}");
     }
 }
@@ -154,14 +154,14 @@
     row.replicas.push(loading("m"));
     let loaded = |model: &str| EngineModel { model: model.to_owned(), ready: true, memory_mb: 40 };
     let engine = EngineReport { models: vec![loaded("m"), loaded("stray")], cached: Vec::new() };
-    let mut bench = Bench::new(true, Some(row), 3);
-    let orders = bench.settle(&engine);
+    let mut harness = Harness::new(true, Some(row), 3);
+    let orders = harness.settle(&engine);
     let unloaded = orders.iter().filter_map(|effect| match effect {
         SideEffect::Unload { model, .. } => Some(model.as_str()),
         _ => None,
     });
     assert_eq!(unloaded.collect::<Vec<_>>(), ["stray"]);
-    let ledger: EndpointRow = decode(&bench.row.body).unwrap();
+    let ledger: EndpointRow = decode(&harness.row.body).unwrap();
     assert_eq!(ledger.replica("m").unwrap().phase(), Phase::Ready);
 }
 
@@ -243,16 +243,16 @@
 fn a_successor_judges_by_a_list_from_after_its_claim() {
     let mut row = EndpointRow { epoch: 1, memory_mb: 100, ..EndpointRow::default() };
     row.replicas.push(Replica { phase: Phase::Ready.into(), ..loading("m") });
-    let mut bench = Bench::new(true, Some(row), 3);
-    let effects = bench.step(SideEvent::Tick);
+    let mut harness = Harness::new(true, Some(row), 3);
+    let effects = harness.step(SideEvent::Tick);
     let read = effects.iter().find_map(|effect| match effect {
         SideEffect::Read(id, _) => Some(*id),
         _ => None,
     });
-    bench.now += 5;
-    bench.step(SideEvent::EngineListed(Some(EngineReport::default())));
-    bench.now += 5;
-    let claim = bench.step(SideEvent::Rows(read.unwrap(), vec![bench.row.clone()]));
+    harness.now += 5;
+    harness.step(SideEvent::EngineListed(Some(EngineReport::default())));
+    harness.now += 5;
+    let claim = harness.step(SideEvent::Rows(read.unwrap(), vec![harness.row.clone()]));
     let (id, txn) = claim
         .iter()
         .find_map(|effect| match effect {
@@ -260,12 +260,12 @@
             _ => None,
         })
         .unwrap();
-    bench.row = Row { version: 4, body: txn.writes[0].body.clone(), ..bench.row.clone() };
-    bench.now += 5;
-    let owned = bench.step(SideEvent::TxnFinished(id, Outcome::Committed(4)));
+    harness.row = Row { version: 4, body: txn.writes[0].body.clone(), ..harness.row.clone() };
+    harness.now += 5;
+    let owned = harness.step(SideEvent::TxnFinished(id, Outcome::Committed(4)));
     // The answer to a list request from before the claim arrives late.
-    bench.now += 5;
-    let late = bench.step(SideEvent::EngineListed(Some(EngineReport::default())));
+    harness.now += 5;
+    let late = harness.step(SideEvent::EngineListed(Some(EngineReport::default())));
     let commits = |effects: &[SideEffect]| {
         effects.iter().any(|effect| matches!(effect, SideEffect::Commit(..)))
     };
@@ -283,17 +283,17 @@
     row.replicas.push(loading("m"));
     let stray = EngineModel { model: "stray".to_owned(), ready: true, memory_mb: 60 };
     let engine = EngineReport { models: vec![stray], cached: Vec::new() };
-    let mut bench = Bench::new(true, Some(row), 3);
-    let orders = bench.settle(&engine);
+    let mut harness = Harness::new(true, Some(row), 3);
+    let orders = harness.settle(&engine);
     assert_eq!(loads(&orders), 0, "{orders:?}");
     let unload = orders.iter().find_map(|effect| match effect {
         SideEffect::Unload { order, .. } => Some(*order),
         _ => None,
     });
-    bench.now += 5;
-    bench.step(SideEvent::OrderDone { order: unload.unwrap(), done: true });
-    bench.now += 5_000;
-    assert_eq!(loads(&bench.settle(&EngineReport::default())), 1);
+    harness.now += 5;
+    harness.step(SideEvent::OrderDone { order: unload.unwrap(), done: true });
+    harness.now += 5_000;
+    assert_eq!(loads(&harness.settle(&EngineReport::default())), 1);
 }
 
 /// Guards against a cancellation answered as "not run" by a side that cannot know.
@@ -302,12 +302,12 @@
 /// does not show whether the predecessor ran it.
 #[test]
 fn a_successor_knows_nothing_of_its_predecessors_calls() {
-    let mut bench = Bench::new(true, None, 0);
-    bench.settle(&EngineReport::default());
+    let mut harness = Harness::new(true, None, 0);
+    harness.settle(&EngineReport::default());
     let id = CallId { session: 1, number: 1 };
-    let expires = bench.now + 1_000;
+    let expires = harness.now + 1_000;
     for (session, expected) in [(6, CancelAnswer::Unknown), (7, CancelAnswer::NotRun)] {
-        let effects = bench.step(SideEvent::Cancel { id, session, expires });
+        let effects = harness.step(SideEvent::Cancel { id, session, expires });
         assert!(effects.contains(&SideEffect::AnswerCancel(id, expected)), "{effects:?}");
     }
 }
--- a/crates/gateway/src/caller_server.rs
+++ b/crates/gateway/src/caller_server.rs
@@ -320,7 +320,8 @@
 
 /// Returns whether a response is an event stream without a fixed length.
 ///
-/// Only such a stream can be resumed: the attempt that resumes it may produce another length.
+/// No other response can be resumed: the attempt that resumes it may produce a response of another
+/// length.
 fn is_event_stream(headers: &HeaderMap) -> bool {
     let media_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     let is_stream = media_type.is_some_and(|media_type| media_type.starts_with(EVENT_STREAM));
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -40,7 +40,8 @@
     /// No response arrived in time.
     #[error("no response within {0} ms")]
     Timeout(u64),
-    /// The peer answers other calls again after an outage, and this call dates from before.
+    /// The peer answers other calls again after an outage, but this call was made before it
+    /// answered again.
     #[error("superseded by a new call")]
     Superseded,
     /// A response stopped arriving before its end.
--- a/crates/gateway/src/http_client.rs
+++ b/crates/gateway/src/http_client.rs
@@ -19,8 +19,8 @@
 
 use crate::error::GatewayError;
 
-/// Milliseconds to connect: a round trip between zones takes under 5 ms, and TCP sends a lost first
-/// packet again after a second, by when another endpoint is the better choice.
+/// Milliseconds to connect: a round trip between zones takes under 5 ms, and TCP resends a lost
+/// first packet only after a second, when another endpoint would already have been reached.
 pub(crate) const CONNECT_TIMEOUT_MS: u64 = 600;
 /// Milliseconds after which unacknowledged bytes end a connection: a peer without power or behind a
 /// network partition sends no reset, and the connection would hang for minutes.
@@ -28,8 +28,8 @@
 /// Maximum size of a control response in bytes. The largest is a page with the configuration, which has
 /// no size limit of its own: 1,400 routes take 345 KB as the store encodes them.
 const MAX_CONTROL_BYTES: usize = 16 << 20;
-/// Size in bytes from which a response's transfer time is logged: it takes 50 ms on the slowest link,
-/// 10 Mbit/s.
+/// Size in bytes from which a response's transfer time is logged: a response of this size takes 50
+/// ms on the slowest link, 10 Mbit/s.
 const LARGE_RESPONSE_BYTES: usize = 64 << 10;
 /// Milliseconds between two parts of a large response, after which the connection counts as broken:
 /// TCP sends a lost packet again within one second, and a saturated link of 10 Mbit/s queues half a
@@ -158,7 +158,8 @@
         self.drop_if_failed(result)
     }
 
-    /// Drops the connection after a failure, so that a late response isn't taken for the next call's.
+    /// Drops the connection after a failure, so that a late response isn't mistaken for the
+    /// response to the next call.
     fn drop_if_failed<T>(&mut self, result: Result<T, GatewayError>) -> Result<T, GatewayError> {
         if result.is_err() {
             self.connection = None;
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -14,7 +14,8 @@
 
 use crossbeam::channel::{Sender, TrySendError, bounded};
 
-/// Capacity of the queue in lines: about a second of the busiest process at 200 bytes a line.
+/// Capacity of the queue in lines: about what the busiest process logs in a second, at 200 bytes a
+/// line.
 const QUEUE_LINES: usize = 4_096;
 
 /// Milliseconds that a process waits for its log before it exits.
--- a/crates/gateway/src/sides.rs
+++ b/crates/gateway/src/sides.rs
@@ -32,9 +32,10 @@
 /// Milliseconds for the reply to a liveness probe, after which the connection is replaced: it may be
 /// broken while the side still runs, which a new connection shows at once.
 const PROBE_TIMEOUT_MS: u64 = 250;
-/// Milliseconds to connect to a side. While its instance has no power the first packet is lost and TCP
-/// sends it again only after a second, so a new attempt is faster. With 600 ms, after a loss of power of
-/// all instances, entries reached most sides a second after those were up.
+/// Milliseconds to connect to a side. While its instance has no power the first packet is lost and
+/// TCP sends it again only after a second, so a new attempt is faster. With a timeout of 600 ms,
+/// entries reached most sides only a second after the sides were up again when all instances had
+/// lost power.
 const CONNECT_TIMEOUT_MS: u64 = 150;
 /// Milliseconds before reconnecting.
 const RECONNECT_PAUSE_MS: u64 = 100;
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -20,9 +20,9 @@
     platform_view::PlatformView,
 };
 
-/// Milliseconds between two polls of the member list. Several times a second one of the endpoints writes
-/// its row, so a long poll would return at once each time. A leaving endpoint must stop receiving
-/// requests within two seconds; this pause and the store's response take half of that.
+/// Milliseconds between two polls of the member list. The endpoints together write several rows a
+/// second, so each long poll would return at once. A leaving endpoint must stop receiving requests
+/// within two seconds; this pause and the store's response take half of that.
 const MEMBERS_PAUSE_MS: u64 = 900;
 /// Maximum number of failed calls that are logged per outage.
 const MAX_LOGGED_FAILURES: u32 = 16;
@@ -156,8 +156,8 @@
             }
             let page = self.dialect.decode_rows(&body)?;
             // The lowest version of all pages: the next poll returns every change after it.
-            let first = table.version == 0;
-            table.version = if first { page.version } else { table.version.min(page.version) };
+            let first_page = table.version == 0;
+            table.version = if first_page { page.version } else { table.version.min(page.version) };
             from = page.rows.last().map(|row| format!("{}\0", row.key));
             table.rows.extend(page.rows);
             if !page.truncated {
--- a/crates/gateway/tests/logs.rs
+++ b/crates/gateway/tests/logs.rs
@@ -66,8 +66,8 @@
     let read = Arc::new(Mutex::new(Vec::new()));
     let mut pipe = LogPipe::new(StalledReader { resume: receiver, read: read.clone() });
     pipe.write_all(b"event=stopped\n").unwrap();
-    let slow = std::thread::spawn(move || resume.send(()));
+    let reader = std::thread::spawn(move || resume.send(()));
     pipe.handle().drain();
     assert_eq!(read.lock().unwrap().as_slice(), b"event=stopped\n");
-    slow.join().unwrap().unwrap();
+    reader.join().unwrap().unwrap();
 }
--- a/crates/lab/src/replay.rs
+++ b/crates/lab/src/replay.rs
@@ -81,7 +81,8 @@
     pub lower_bound_ms: [u64; 3],
     /// Hours in which a ready model had no running call.
     pub idle_hours: f64,
-    /// Idle hours of a keep-alive policy that knows each next arrival, with as many cold starts.
+    /// Idle hours of a keep-alive policy that knows each next arrival, for the same number of cold
+    /// starts.
     pub clairvoyant_hours: f64,
     /// Loads begun by engines.
     pub loads: u64,
@@ -222,27 +223,28 @@
     /// Returns the minimum idle hours for the observed number of cold starts.
     ///
     /// If the next arrival is known, a model is either kept for the whole gap or unloaded at once.
-    /// For a given number of cold starts, keeping it through the shortest gaps costs least.
+    /// For a given number of cold starts, keeping models loaded through the shortest gaps costs
+    /// least.
     fn clairvoyant(&self, trace: &[TraceRequest]) -> f64 {
-        let mut last: BTreeMap<usize, u64> = BTreeMap::new();
+        let mut last_arrivals: BTreeMap<usize, u64> = BTreeMap::new();
         let mut gaps = Vec::new();
         for request in trace {
             let base = self.deployment.base(request.model);
-            let before = last.insert(base, request.at);
+            let previous = last_arrivals.insert(base, request.at);
             if request.at >= self.measure_from
-                && let Some(before) = before
+                && let Some(previous) = previous
             {
-                gaps.push(request.at - before);
+                gaps.push(request.at - previous);
             }
         }
         gaps.sort_unstable();
-        let kept = gaps.len().saturating_sub(self.base_cold_starts());
+        let kept = gaps.len().saturating_sub(self.cold_starts());
         gaps.iter().take(kept).sum::<u64>() as f64 / 3_600_000.0
     }
 
-    /// Returns the number of cold starts, including those that loaded only an adapter, because its base
-    /// was ready.
-    fn base_cold_starts(&self) -> usize {
+    /// Returns the number of cold starts, including those that loaded only an adapter because its
+    /// base was ready.
+    fn cold_starts(&self) -> usize {
         self.report.cold_starts as usize
     }
 }
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -14,7 +14,7 @@
 const POLL_MS: u64 = 20;
 const SETTLE_MS: u64 = 12_000;
 const TIMEOUT_MS: u64 = 30_000;
-/// Time to load the busy models: 82 loads of 1 s, 4 at a time, with a margin.
+/// Time to load the busy models, in milliseconds: 82 loads of 1 s, 4 at a time, with a margin.
 const WARM_UP_MS: u64 = 45_000;
 
 /// Size of a deployment to measure.
--- a/crates/lab/src/simulation/meters.rs
+++ b/crates/lab/src/simulation/meters.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Starts to count the entries' transactions that write a row.
+    /// Starts to count the entries' transactions that write the row `key`.
     pub fn watch_row(&mut self, key: String) {
         self.watched_key = key;
         self.watched_commits = (0, 0);
@@ -49,7 +49,7 @@
         self.table.rows()
     }
 
-    /// Returns whether an entry is running in that incarnation.
+    /// Returns whether an entry is running in the given incarnation.
     pub fn entry_has_incarnation(&self, index: usize, incarnation: u64) -> bool {
         self.entry_running(index, incarnation)
     }
--- a/crates/lab/src/simulation/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -309,8 +309,8 @@
 
     /// Returns a random network delay, in milliseconds.
     fn network_delay(&mut self) -> u64 {
-        let slow = self.faults.delayed_messages;
-        if slow > 0.0 && self.rng.random_bool(slow) {
+        let delay_probability = self.faults.delayed_messages;
+        if delay_probability > 0.0 && self.rng.random_bool(delay_probability) {
             return self.rng.random_range(50..self.faults.max_delay_ms.max(51));
         }
         1
@@ -360,7 +360,7 @@
             deadline_ms,
             idempotency_key,
             body_hash: idempotency_key.unwrap_or(0),
-            prefix: 0,
+            prefix_hash: 0,
         };
         let incarnation = self.entries[entry].incarnation;
         self.schedule(0, SimEvent::ToEntry(entry, incarnation, Event::Request(incoming)));
@@ -386,7 +386,8 @@
 
     /// Returns the requests that have ended since the last call, with their IDs.
     ///
-    /// It is empty if finished requests are kept.
+    /// Returns nothing if [`SimulationOptions::keep_finished`] is set, which keeps the requests for
+    /// the oracle.
     pub fn take_finished(&mut self) -> Vec<(u64, RequestRecord)> {
         std::mem::take(&mut self.finished)
     }
--- a/crates/lab/src/traces.rs
+++ b/crates/lab/src/traces.rs
@@ -171,10 +171,10 @@
             let hour = at % DAY_MS / HOUR_MS;
             if (self.hours.0..self.hours.1).contains(&hour) {
                 burst(model, at, rng, trace);
-                let mut next = at;
+                let mut request_at = at;
                 for _ in 0..rng.random_range(0..6) {
-                    next += exponential(15_000, rng);
-                    trace.push(TraceRequest { at: next, model });
+                    request_at += exponential(15_000, rng);
+                    trace.push(TraceRequest { at: request_at, model });
                 }
             }
             at += exponential(mean, rng);
--- a/crates/pool/src/config_transfer.rs
+++ b/crates/pool/src/config_transfer.rs
@@ -20,15 +20,16 @@
 /// Milliseconds for which a peer is avoided after it sent no chunk in time, or data that is not a
 /// valid configuration.
 const FAULTY_PEER_MS: u64 = 2_000;
-/// Milliseconds for which a peer that is busy serving others is avoided: a configuration of 0.5 MB
-/// takes as long on a link of 50 Mbit/s.
+/// Milliseconds for which a peer that is busy serving others is avoided: serving a configuration of
+/// 0.5 MB on a link of 50 Mbit/s takes about as long.
 const BUSY_PEER_MS: u64 = 100;
-/// Maximum number of peers that a process serves at once. More would only share its link.
+/// Maximum number of peers that a process serves at once. Serving more at once would only divide
+/// the bandwidth of its link further.
 const MAX_SERVED: usize = 2;
 /// Milliseconds after its last chunk for which a peer counts as being served.
 const SERVED_MS: u64 = 1_000;
 /// Milliseconds for this process to apply a complete configuration before it requests another:
-/// decoding 0.5 MB takes 7 on a tenth of a core.
+/// decoding 0.5 MB takes 7 ms on a tenth of a core.
 const DECODE_MS: u64 = 100;
 /// Maximum size of a configuration in bytes; a larger one is a fault of the peer.
 const MAX_CONFIG_BYTES: u64 = 16 << 20;
@@ -104,7 +105,7 @@
 struct ChunkRequest<P> {
     peer: P,
     version: u64,
-    at: Millis,
+    requested_at: Millis,
 }
 
 impl<P: Copy + Ord + ToString> ConfigFetch<P> {
@@ -146,18 +147,21 @@
     /// Returns when [`ConfigFetchEvent::Tick`] is due if no other event occurs.
     pub fn next_tick(&self) -> Option<Millis> {
         if let Some(outstanding) = &self.outstanding {
-            return Some(outstanding.at + CHUNK_TIMEOUT_MS);
+            return Some(outstanding.requested_at + CHUNK_TIMEOUT_MS);
         }
-        let due = self.lacking_since? + self.store_wait_ms();
+        let ask_at = self.lacking_since? + self.store_wait_ms();
         let free = |peer: &P| self.avoided.get(peer).copied().unwrap_or_default();
         let first_free = self.newer().map(|(peer, _)| free(&peer)).min()?;
-        Some(due.max(first_free).max(self.paused_until))
+        Some(ask_at.max(first_free).max(self.paused_until))
     }
 
     /// Returns peers with a newer configuration than this process.
     fn newer(&self) -> impl Iterator<Item = (P, u64)> {
-        let own = self.own_version;
-        self.offers.iter().map(|(peer, version)| (*peer, *version)).filter(move |o| o.1 > own)
+        let own_version = self.own_version;
+        self.offers
+            .iter()
+            .map(|(peer, version)| (*peer, *version))
+            .filter(move |o| o.1 > own_version)
     }
 
     fn store_wait_ms(&self) -> u64 {
@@ -226,8 +230,9 @@
     /// for seconds. The chunks received so far are kept, and the rest is requested from another
     /// peer.
     fn check_timeout(&mut self, now: Millis, effects: &mut Vec<ConfigFetchEffect<P>>) {
-        let Some(outstanding) =
-            self.outstanding.filter(|outstanding| now.since(outstanding.at) >= CHUNK_TIMEOUT_MS)
+        let Some(outstanding) = self
+            .outstanding
+            .filter(|outstanding| now.since(outstanding.requested_at) >= CHUNK_TIMEOUT_MS)
         else {
             return;
         };
@@ -281,7 +286,7 @@
         effects: &mut Vec<ConfigFetchEffect<P>>,
     ) {
         let offset = self.offset_of(version);
-        self.outstanding = Some(ChunkRequest { peer, version, at: now });
+        self.outstanding = Some(ChunkRequest { peer, version, requested_at: now });
         effects.push(ConfigFetchEffect::RequestChunk(peer, ConfigChunkRequest { version, offset }));
     }
 }
--- a/crates/pool/src/decaying_count.rs
+++ b/crates/pool/src/decaying_count.rs
@@ -6,17 +6,17 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DecayingCount {
     weight: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
 impl DecayingCount {
-    /// Returns the count at `now`, where each event decays to 1/e in `decay_ms`.
+    /// Returns the count at `now`, where the weight of each event decays to 1/e in `decay_ms`.
     pub(crate) fn decayed(&self, decay_ms: f64, now: Millis) -> f64 {
-        self.weight * (-(now.since(self.at) as f64) / decay_ms).exp()
+        self.weight * (-(now.since(self.updated_at) as f64) / decay_ms).exp()
     }
 
     /// Counts one event.
     pub(crate) fn add(&mut self, decay_ms: f64, now: Millis) {
-        *self = DecayingCount { weight: self.decayed(decay_ms, now) + 1.0, at: now };
+        *self = DecayingCount { weight: self.decayed(decay_ms, now) + 1.0, updated_at: now };
     }
 }
--- a/crates/pool/src/endpoint.rs
+++ b/crates/pool/src/endpoint.rs
@@ -9,14 +9,14 @@
     member::{Member, full_name},
 };
 
-/// Milliseconds after which a side's last report no longer counts as fresh: four of its periods of
-/// 500 ms, so that one lost message does not make an endpoint's state unknown.
+/// Milliseconds after which a side's last report no longer counts as fresh: four report intervals
+/// of 500 ms, so that one lost message does not make an endpoint's state unknown.
 pub(crate) const FRESH_MS: u64 = 2_000;
 /// Milliseconds for which an endpoint that could not be reached is avoided while others are
 /// available.
 const AVOID_MS: u64 = 1_000;
 /// Milliseconds without a report from a side after which its endpoint ranks below all others: two
-/// periods of 500 ms plus a margin.
+/// report intervals of 500 ms plus a margin.
 pub(crate) const SIDE_SILENT_MS: u64 = 1_100;
 /// Milliseconds after an endpoint is first listed within which its side reports, if it is up: a
 /// lost connection and a reconnect take 250 ms.
@@ -44,7 +44,8 @@
     pub(crate) in_memory: Vec<ModelKey>,
     /// Models with cached weights on disk.
     pub(crate) on_disk: Vec<ModelKey>,
-    /// Orders accepted when the side recorded this; 0 if it comes from the member list.
+    /// Number of orders that the endpoint had accepted when the side recorded this inventory; 0 if
+    /// the inventory comes from the member list.
     pub(crate) sequence: u64,
 }
 
@@ -128,10 +129,10 @@
     pub(crate) side: Option<SideView>,
     /// Whether its instance responds.
     pub(crate) liveness: Liveness,
-    /// Requests of this entry that run there.
+    /// Requests of this entry that run at the endpoint.
     pub(crate) own_requests: u32,
-    /// Requests in flight there from all entries as last reported, plus later dispatches of this
-    /// entry.
+    /// Requests in flight at the endpoint from all entries as last reported, plus later dispatches
+    /// of this entry.
     pub(crate) load: u32,
     /// Dispatches of this entry since the load was last reported.
     pub(crate) unreported: u32,
@@ -139,7 +140,7 @@
     /// Until when its side gets no further load requests, because it has just declined one.
     pub(crate) declined_until: Millis,
     pub(crate) failure_rate: f64,
-    /// Milliseconds for which the oldest unanswered attempt there has been waiting.
+    /// Milliseconds for which the oldest unanswered attempt at the endpoint has been waiting.
     pub(crate) unanswered_ms: u64,
     /// Average recent time to first byte in milliseconds, and when it was last updated.
     ttfb: f64,
@@ -186,7 +187,8 @@
         Endpoint { unlisted: true, ..Endpoint::new(member, now) }
     }
 
-    /// Discards the state of the previous incarnation; requests that run there still count.
+    /// Discards the state of the previous incarnation, except the instance's liveness and the count of
+    /// this entry's requests.
     pub(crate) fn reset_for_restart(&mut self, now: Millis) {
         let (own_requests, incarnation, liveness) =
             (self.own_requests, self.incarnation, self.liveness);
@@ -199,12 +201,12 @@
         self.incarnation.start_time()
     }
 
-    /// Returns whether new requests may be dispatched there.
+    /// Returns whether new requests may be dispatched to the endpoint.
     pub(crate) fn accepts_requests(&self) -> bool {
         !self.member.leaving
     }
 
-    /// Returns the number of requests that run or wait there, as far as known.
+    /// Returns the number of requests known to run or wait at the endpoint.
     pub(crate) fn load(&self) -> u32 {
         self.load.max(self.own_requests)
     }
@@ -220,8 +222,8 @@
         f64::from(self.load()) / f64::from(self.member.slots.max(1))
     }
 
-    /// Returns whether its side has not reported for more than two periods, or cannot reach the
-    /// endpoint: the instance may be frozen or gone.
+    /// Returns whether its side has not reported for more than two report intervals, or cannot
+    /// reach the endpoint: the instance may be frozen or gone.
     pub(crate) fn side_silent(&self, now: Millis) -> bool {
         self.side
             .as_ref()
--- a/crates/pool/src/entry/admit.rs
+++ b/crates/pool/src/entry/admit.rs
@@ -77,7 +77,7 @@
             deadline: self.now + allowed,
             idle_deadline: self.now + allowed.min(idle_timeout),
             stage: Stage::Waiting,
-            sent: self.now,
+            sent_at: self.now,
             head_ms: 0,
             instance: None,
             tried: Vec::new(),
--- a/crates/pool/src/entry/choose.rs
+++ b/crates/pool/src/entry/choose.rs
@@ -34,7 +34,7 @@
 const SILENT_COST: f64 = 3.0;
 /// Share of a service's runs that an endpoint may have at no cost: a little more than the even
 /// share in a small pool.
-const CONCENTRATION_FREE: f64 = 0.15;
+const CONCENTRATION_FREE_SHARE: f64 = 0.15;
 /// Cost of the share beyond that: a tenth of all runs weighs as much as another zone.
 const CONCENTRATION_COST: f64 = 4.0;
 /// Lower bound on a service's runs when computing shares: of two runs, one is already half.
@@ -110,9 +110,9 @@
     /// Returns whether a request that has waited must wait for the engine's next load report.
     ///
     /// When a model with many waiting callers becomes available, all entries learn of it at the
-    /// same moment, and each sees an idle engine. Together they sent ten times its capacity, and
-    /// most of it was refused. Each entry therefore dispatches waiting requests only up to its
-    /// share of the capacity between two load reports.
+    /// same moment, and each sees an idle engine. Together they dispatched ten times its capacity,
+    /// and most of these requests were refused. Each entry therefore dispatches waiting requests
+    /// only up to its share of the capacity between two load reports.
     fn throttled(&self, endpoint: &Endpoint, request: &Request) -> bool {
         let room = f64::from(endpoint.member.slots) * ENGINE_FULL;
         let share = (room / f64::from(self.entries())).ceil() as u32;
@@ -150,7 +150,7 @@
     /// endpoint costs more than one in another zone, so that the other holders get the rest.
     pub(super) fn concentration_cost(&self, endpoint: &Endpoint, runs: u32) -> f64 {
         let share = f64::from(endpoint.load()) / f64::from(runs.max(CONCENTRATION_MIN_RUNS));
-        CONCENTRATION_COST * (share - CONCENTRATION_FREE).max(0.0)
+        CONCENTRATION_COST * (share - CONCENTRATION_FREE_SHARE).max(0.0)
     }
 
     /// Returns the cost of dispatching to an endpoint, in shares of its slots; `runs` is the total
--- a/crates/pool/src/entry/demand.rs
+++ b/crates/pool/src/entry/demand.rs
@@ -10,14 +10,14 @@
 
 /// Minimum requests per second of a busy model: its loss affects callers within half a second.
 pub(super) const BUSY_RATE: f64 = 2.0;
-/// Minimum requests per second at this entry for estimating the rate over all entries: four within
-/// the ten seconds of the slow average.
+/// Minimum requests per second at this entry for estimating the rate over all entries: four
+/// requests within the ten seconds of the slow average.
 pub(super) const MIN_LOCAL_RATE: f64 = 0.4;
-/// Milliseconds that a refusal costs its caller, which retries after one or two seconds, once.
+/// Milliseconds that a refusal costs its caller, which retries once, after one or two seconds.
 pub(super) const REFUSAL_COST_MS: f64 = 2_000.0;
-/// Misses per second below which a model is no longer loaded because of them: one in twenty
-/// seconds.
-const MISS_FLOOR: f64 = 0.05;
+/// Misses per second below which a model is no longer loaded because of its misses: one miss in
+/// twenty seconds.
+const MIN_MISS_RATE: f64 = 0.05;
 /// Requests received by this entry, by model.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
@@ -119,11 +119,11 @@
     ///
     /// Each active load of `key` is assumed to serve its part of the current misses.
     pub(super) fn others_missed_more(&self, key: ModelKey) -> bool {
-        let own = self.miss_rate(key) / (1.0 + self.loading_count(key) as f64);
-        let own = own.max(MISS_FLOOR);
+        let own_rate = self.miss_rate(key) / (1.0 + self.loading_count(key) as f64);
+        let own_rate = own_rate.max(MIN_MISS_RATE);
         self.missed_models().into_iter().any(|other| {
             other != key
-                && self.miss_rate(other) > own
+                && self.miss_rate(other) > own_rate
                 && !self.load_requests.contains_key(&other)
                 && self.loading_count(other) == 0
                 && self.only_in_store(other)
@@ -177,11 +177,11 @@
 
     /// Requests a load of the model with the highest miss rate, when the weight store has capacity.
     ///
-    /// Requests with less time left than such a load takes are refused immediately and are not
-    /// queued. Without this function, their model would never be loaded.
+    /// Requests with less time left than a load from the weight store takes are refused immediately
+    /// and are not queued. Without this function, their model would never be loaded.
     pub(super) fn load_missed(&mut self) {
         let now = self.now;
-        self.demand.missed.retain(|_, rate| rate.per_s(now) > MISS_FLOOR);
+        self.demand.missed.retain(|_, rate| rate.per_s(now) > MIN_MISS_RATE);
         let is_covered = |key: &ModelKey| {
             self.load_requests.contains_key(key)
                 || self.loading_count(*key) > 0
--- a/crates/pool/src/entry/dispatch.rs
+++ b/crates/pool/src/entry/dispatch.rs
@@ -21,9 +21,9 @@
 /// Retry time, in milliseconds, when the entry is stopping: just enough to keep the retries from
 /// arriving all at once.
 const STOPPING_RETRY_MS: u64 = 50;
-/// Divisor of the time until a model is loaded: the retries of its callers are spread over that
-/// part of the time. An endpoint takes a whole batch at once, and reads the prompts of one batch in
-/// the time in which the next one arrives.
+/// Divisor of the time until a model is loaded: the retries of its callers are spread over this
+/// fraction of that time. An endpoint accepts a whole batch at once, and processes the prompts of
+/// one batch while the next batch arrives.
 const RETRY_SPREAD: u64 = 8;
 
 impl PoolEntry {
@@ -45,7 +45,7 @@
         request.stage = Stage::Sent;
         request.has_progress = false;
         request.retry_charged = false;
-        request.sent = now;
+        request.sent_at = now;
         request.instance = Some(instance.to_owned());
         request.dispatches += 1;
         let dispatch = Dispatch {
@@ -120,7 +120,7 @@
                 endpoint.set_load(load);
             }
             if verdict == Verdict::Forward {
-                request.head_ms = now.since(request.sent);
+                request.head_ms = now.since(request.sent_at);
                 endpoint.record_ttfb(request.head_ms, now);
             }
             if verdict != Verdict::NotRun {
@@ -260,8 +260,8 @@
         }
         self.release(id);
         let Some(request) = self.requests.remove(&id) else { return };
-        // If the first run broke and no second endpoint is found, the request has run: a status
-        // that guarantees otherwise would be wrong, whatever prevented the second run.
+        // If the first run broke off and no second endpoint is found, the request may have run: a
+        // status that guarantees that it has not would be wrong, whatever prevented the second run.
         let contradicts = request.runs > 0 && reason.status() == NOT_RUN_STATUS;
         let reason = if contradicts { Reason::Broken } else { reason };
         let retry_ms = self.retry_after(reason, &request);
--- a/crates/pool/src/entry/load_requests.rs
+++ b/crates/pool/src/entry/load_requests.rs
@@ -41,7 +41,7 @@
 pub(super) struct SentLoadRequest {
     pub(super) instance: String,
     address: SocketAddr,
-    sent: Millis,
+    sent_at: Millis,
     expires: Millis,
     /// Expected time of completion.
     expected: Millis,
@@ -310,7 +310,7 @@
         let load_request = SentLoadRequest {
             instance: instance.to_owned(),
             address,
-            sent: self.now,
+            sent_at: self.now,
             expires: self.now + ttl_ms,
             expected: self.now + ready_ms,
             confirmed: false,
@@ -343,7 +343,7 @@
             load_request.confirmed |= loading.contains(key);
             let ended = load_request.confirmed && !loading.contains(key);
             let unconfirmed =
-                !load_request.confirmed && now.since(load_request.sent) > CONFIRM_TIMEOUT_MS;
+                !load_request.confirmed && now.since(load_request.sent_at) > CONFIRM_TIMEOUT_MS;
             !held.contains(key) && !ended && !unconfirmed
         });
     }
@@ -358,7 +358,7 @@
                 .get(&load_request.instance)
                 .and_then(|endpoint| endpoint.fresh_side(now));
             let unconfirmed =
-                !load_request.confirmed && now.since(load_request.sent) > CONFIRM_TIMEOUT_MS;
+                !load_request.confirmed && now.since(load_request.sent_at) > CONFIRM_TIMEOUT_MS;
             let open = side.is_some() && !unconfirmed || load_request.declined;
             open && now < load_request.expires
         });
--- a/crates/pool/src/entry/mod.rs
+++ b/crates/pool/src/entry/mod.rs
@@ -55,7 +55,7 @@
 /// Maximum time that a request waits for a slot, in latency objectives. A request that has waited
 /// longer, although its queue was estimated to be shorter, is refused with a retry time.
 const QUEUE_TARGETS: u64 = 4;
-/// Lower bound on that maximum, in milliseconds.
+/// Lower bound, in milliseconds, on the maximum wait given by [`QUEUE_TARGETS`].
 const QUEUE_MIN_MS: u64 = 500;
 /// Milliseconds that an endpoint with free slots takes to the first event of a stream. A prompt of
 /// 9,000 tokens is read in 240 ms.
@@ -94,7 +94,7 @@
     idle_deadline: Millis,
     stage: Stage,
     /// Time of the last dispatch.
-    sent: Millis,
+    sent_at: Millis,
     /// Milliseconds from the last dispatch to the response head.
     head_ms: u64,
     /// Instance that the request is dispatched to; `None` while it waits.
@@ -127,8 +127,8 @@
     /// caller's idle timeout is left to the endpoint for the first event.
     fn wait_ms(&self, now: Millis) -> u64 {
         let bounded = self.required.is_some() && self.idle_deadline < self.deadline;
-        let first = if bounded { FIRST_EVENT_MS } else { 0 };
-        self.idle_deadline.since(now).saturating_sub(first)
+        let first_event_ms = if bounded { FIRST_EVENT_MS } else { 0 };
+        self.idle_deadline.since(now).saturating_sub(first_event_ms)
     }
 
     /// Returns whether the latency objective has already passed.
@@ -278,8 +278,8 @@
         if config.version <= self.config_version() {
             return;
         }
-        let old = self.config_version();
-        self.log(LogEvent::new("text").with("version", config.version).with("old", old));
+        let old_version = self.config_version();
+        self.log(LogEvent::new("text").with("version", config.version).with("old", old_version));
         let services = config.services.iter().map(|service| service.name.clone()).collect();
         self.config = Some(config);
         let outcome = self.pool.set_services(services, &mut self.names, self.now);
--- a/crates/pool/src/entry/preload.rs
+++ b/crates/pool/src/entry/preload.rs
@@ -118,7 +118,7 @@
             return None;
         }
         // The last load slot of the weight store is reserved for models that many callers miss.
-        let last = loads + 1 >= limit && limit > 1;
+        let last_slot = loads + 1 >= limit && limit > 1;
         let leaving = self.leaving_rate(service);
         let copies = self.copies(service);
         let keys = self.preload.requests.keys().copied();
@@ -129,7 +129,7 @@
             let held = copies.get(&key).copied().unwrap_or(0);
             let load_cost = spec.store_ms as f64 / f64::from(limit);
             let gain = expected_loss(spec, rate, leaving, held) - load_cost;
-            (rate >= BUSY_RATE || !last).then_some((key, gain))
+            (rate >= BUSY_RATE || !last_slot).then_some((key, gain))
         });
         let best = gains.max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))?;
         (best.1 > 0.0).then_some(best)
--- a/crates/pool/src/entry/replicas.rs
+++ b/crates/pool/src/entry/replicas.rs
@@ -27,7 +27,7 @@
 /// Minimum replicas of a model above [`SPARE_RATE`].
 const SPARE_REPLICAS: f64 = 2.0;
 /// Share of a second's requests that a spare replica is worth: one endpoint in twenty crashes
-/// within the horizon, and its model is unavailable for about as long.
+/// within [`HORIZON_S`], and its model is then unavailable for about that time.
 const CRASH_SHARE: f64 = 0.5;
 /// Share of the endpoints that leave or crash within [`HORIZON_S`].
 const LEAVE_SHARE: f64 = 0.05;
@@ -102,14 +102,14 @@
 
     /// Returns whether the weight store may load one more replica of a model now.
     ///
-    /// During a rolling replacement, endpoints join with empty disks. The busiest model was loaded
-    /// to five of them at once, and the next one to six, while the last cached weights of other
-    /// models in demand were lost; with eight concurrent loads, each took 13 s instead of 6. The
-    /// first load of each model that callers miss therefore has precedence, and a model never has
-    /// more than two loads at once.
+    /// During a rolling replacement, endpoints join with empty disks. Without this rule, the
+    /// busiest model was loaded at five of them at once, and the next model at six, while the
+    /// last cached weights of other models in demand were lost; with eight concurrent loads, each
+    /// took 13 s instead of 6. The first load of each model that callers miss therefore has
+    /// precedence, and a model never has more than two loads at once.
     fn replica_due(&self, key: ModelKey, loading: usize) -> bool {
-        let first = loading == 0 && self.live_holders(key).next().is_none();
-        first || loading < MAX_REPLICA_LOADS && !self.others_missed_more(key)
+        let first_load = loading == 0 && self.live_holders(key).next().is_none();
+        first_load || loading < MAX_REPLICA_LOADS && !self.others_missed_more(key)
     }
 
     /// Returns the expected loss of callers because at most one endpoint has a model's weights
@@ -143,9 +143,9 @@
 
 /// Returns the number of replicas that a busy model should have at this request rate.
 fn desired_replicas(rate: f64, slots: u32) -> f64 {
-    let each = REPLICA_RATE.min(SLOT_RATE * f64::from(slots.max(1)));
-    let spare = if rate > SPARE_RATE { SPARE_REPLICAS } else { 1.0 };
-    (rate / each).ceil().max(spare)
+    let replica_rate = REPLICA_RATE.min(SLOT_RATE * f64::from(slots.max(1)));
+    let min_replicas = if rate > SPARE_RATE { SPARE_REPLICAS } else { 1.0 };
+    (rate / replica_rate).ceil().max(min_replicas)
 }
 
 /// Returns the expected milliseconds that one more replica saves callers while the `held` ones
--- a/crates/pool/src/entry/resume.rs
+++ b/crates/pool/src/entry/resume.rs
@@ -126,16 +126,17 @@
     ///
     /// This counts as the same run, so it is permitted for streams that may run only once: an
     /// endpoint without the copy says so and runs nothing. Only a run that has delivered an event
-    /// is resumed. Before that, the copy of a run that has just begun looks the same as that of a
-    /// run whose response was completed and lost, and two of a thousand requests ran twice. A run
-    /// is not resumed while its last endpoint is stalled, because that endpoint continues with it
-    /// later.
+    /// is resumed. Before the first event, the copy of a run that has just begun looks the same as
+    /// the copy of a run whose response was completed and lost; when runs were resumed at that
+    /// stage, two of a thousand requests ran twice. A run is not resumed while its last endpoint is
+    /// stalled, because that endpoint continues with it later.
     pub(super) fn resume_from_copy(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let resumable = request.last_event.is_some() && request.dispatches < MAX_DISPATCHES;
         let Some(backup) = request.backup.clone().filter(|_| resumable) else { return false };
-        let last = request.instance.as_ref().and_then(|instance| self.pool.endpoints.get(instance));
-        let stalled = last.is_some_and(|endpoint| endpoint.liveness.is_stalled(self.now));
+        let last_endpoint =
+            request.instance.as_ref().and_then(|instance| self.pool.endpoints.get(instance));
+        let stalled = last_endpoint.is_some_and(|endpoint| endpoint.liveness.is_stalled(self.now));
         if stalled || !self.has_live_copy(request) || !self.charge_retry(id) {
             return false;
         }
--- a/crates/pool/src/entry/stalls.rs
+++ b/crates/pool/src/entry/stalls.rs
@@ -11,7 +11,8 @@
 /// Milliseconds between two deadline checks above which this process itself was paused. Messages
 /// that arrived meanwhile have not been read yet.
 const OWN_PAUSE_MS: u64 = 60;
-/// The same limit without requests, when checks are less frequent.
+/// Equivalent of [`OWN_PAUSE_MS`] while the entry has no requests: it then checks deadlines less
+/// often.
 const IDLE_PAUSE_MS: u64 = 260;
 
 impl PoolEntry {
--- a/crates/pool/src/entry/store_limit.rs
+++ b/crates/pool/src/entry/store_limit.rs
@@ -39,7 +39,8 @@
         self.limit
     }
 
-    /// Records the duration of an endpoint's last load, which started as one of `loads`.
+    /// Records the duration of an endpoint's last load; `loads` is the number of concurrent loads
+    /// when it started.
     pub(super) fn record_finished(
         &mut self,
         instance: &str,
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Records how late an active load is that started as one of `loads`.
+    /// Records how late an active load is; `loads` is the number of concurrent loads when it
+    /// started.
     pub(super) fn record_late(&mut self, slowdown: u32, loads: u32, now: Millis) {
         if slowdown >= LATE_LOAD_MILLI {
             self.lower(slowdown, loads, now);
--- a/crates/pool/src/entry/store_loads.rs
+++ b/crates/pool/src/entry/store_loads.rs
@@ -14,9 +14,9 @@
 /// miss.
 const IN_DEMAND_RATE: f64 = 8.0;
 /// Milliseconds of one entry's turn to use the weight store. A side's report of its planned loads
-/// reaches all entries within a few milliseconds, and each entry checks every twenty.
+/// reaches all entries within a few milliseconds, and each entry checks every 20 ms.
 const TURN_MS: u64 = 40;
-/// Maximum number of entries that need no turns: few act in the same millisecond.
+/// Maximum number of entries that need no turns: so few entries rarely act in the same millisecond.
 const MAX_UNORDERED_ENTRIES: u64 = 8;
 /// Engines for each load from the weight store that serves a rarely used model. With three such
 /// loads on nine engines, a third of the engines took no other order for six seconds.
@@ -32,7 +32,7 @@
         if !self.has_store_turn() {
             return false;
         }
-        let own = if self.only_in_store(model) {
+        let model_rate = if self.only_in_store(model) {
             self.unserved_rate(model)
         } else {
             self.miss_rate(model)
@@ -42,7 +42,7 @@
         let ahead = others.into_iter().filter(|key| {
             *key != model
                 && !self.load_requests.contains_key(key)
-                && self.unserved_rate(*key) > own
+                && self.unserved_rate(*key) > model_rate
                 && self.only_in_store(*key)
                 && self.loading_count(*key) == 0
         });
@@ -51,16 +51,16 @@
         let limit = self.store_limit.limit();
         let engines =
             self.pool.endpoints.values().filter(|endpoint| endpoint.side.is_some()).count() as u32;
-        let rare = (limit - 1).min(engines / ENGINES_PER_RARE_LOAD).max(1);
-        let limit = if own < BUSY_RATE { rare } else { limit };
+        let rare_limit = (limit - 1).min(engines / ENGINES_PER_RARE_LOAD).max(1);
+        let limit = if model_rate < BUSY_RATE { rare_limit } else { limit };
         self.store_loads() + (ahead.count() as u32) < limit
     }
 
     /// Returns whether it is this entry's turn to use the weight store.
     ///
-    /// All entries learn at the same moment that the store has capacity. 68 of them requested eight
-    /// models within a millisecond, before any could learn of another, and each load then took
-    /// eight times as long.
+    /// All entries learn at the same moment that the store has capacity. Without turns, 68 entries
+    /// requested eight models within a millisecond, before any could learn of another entry's
+    /// request, and each load then took eight times as long.
     pub(super) fn has_store_turn(&self) -> bool {
         let entries = u64::from(self.entries());
         let turn = (self.now.0 + self.profile.seed % (entries * TURN_MS)) / TURN_MS;
--- a/crates/pool/src/entry/timers.rs
+++ b/crates/pool/src/entry/timers.rs
@@ -4,8 +4,9 @@
 
 use super::{Choice, EntryEffect, MIN_REMAINING_MS, PoolEntry, Reason, Request, RequestId, Stage};
 
-/// Time to first byte, in latency objectives, above which a request is retried elsewhere. At two, a
-/// response in the other endpoint's usual time still arrives within three.
+/// Time to first byte, in latency objectives, above which a request is retried elsewhere. At two
+/// objectives, the response to the retry still arrives within three if the other endpoint takes its
+/// usual time.
 const UNANSWERED_TARGETS: u64 = 2;
 /// Lower bound on that time, in milliseconds: shorter delays are normal.
 const UNANSWERED_MIN_MS: u64 = 400;
@@ -24,7 +25,8 @@
         self.fail_over_unanswered();
     }
 
-    /// Runs the same checks, then retries waiting requests and reviews the placement of models.
+    /// Checks deadlines, then tries to dispatch waiting requests and reviews the placement of
+    /// models.
     pub(super) fn tick(&mut self) {
         self.check_deadlines();
         self.refuse_long_waits();
@@ -55,8 +57,8 @@
     /// Refuses waiting requests whose callers are about to disconnect.
     ///
     /// A caller of a stream disconnects after some seconds without an event, long before its
-    /// deadline. A request held until then gets no response; refused with a retry time, it is
-    /// served once the model is ready.
+    /// deadline. A request held until then gets no response, while one that is refused with a retry
+    /// time is served once the model is ready.
     fn refuse_before_disconnect(&mut self) {
         let waiting = self.requests.iter().filter(|(_, request)| request.stage == Stage::Waiting);
         let leaving = waiting.filter(|(_, request)| {
@@ -80,7 +82,8 @@
                 .as_ref()
                 .and_then(|instance| self.pool.endpoints.get_mut(instance));
             if let Some(endpoint) = endpoint {
-                endpoint.unanswered_ms = endpoint.unanswered_ms.max(self.now.since(request.sent));
+                endpoint.unanswered_ms =
+                    endpoint.unanswered_ms.max(self.now.since(request.sent_at));
             }
         }
     }
@@ -96,7 +99,7 @@
             request.stage == Stage::Sent
                 && request.retry_policy.may_retry()
                 && request.runs + 1 < request.max_attempts
-                && self.now.since(request.sent) > limit_ms
+                && self.now.since(request.sent_at) > limit_ms
         });
         for id in unanswered.map(|(id, _)| *id).collect::<Vec<_>>() {
             let Some(request) = self.requests.get(&id) else { continue };
@@ -116,7 +119,7 @@
         if let Some(instance) = request.instance.take() {
             if let Some(endpoint) = self.pool.endpoints.get_mut(&instance) {
                 endpoint.record_result(true);
-                endpoint.record_ttfb(now.since(request.sent), now);
+                endpoint.record_ttfb(now.since(request.sent_at), now);
             }
             request.tried.push(instance);
         }
--- a/crates/pool/src/entry/types.rs
+++ b/crates/pool/src/entry/types.rs
@@ -22,7 +22,7 @@
     pub retry_ratio: f64,
     /// Permitted retries in addition, over all entries.
     pub retry_slack: f64,
-    /// The sliding window to which both limits apply, in milliseconds.
+    /// The sliding window to which both retry limits apply, in milliseconds.
     pub retry_window_ms: u64,
 }
 
@@ -123,7 +123,7 @@
     DispatchFailed(RequestId, u32, FailureKind),
     /// The responses of these requests have made progress.
     Progress(Vec<RequestId>),
-    /// The response has ended; whether it was complete.
+    /// The response has ended; the flag says whether it was complete.
     ResponseEnded(RequestId, bool),
     /// The endpoint broke off a stream; carries the last event delivered to the caller, if any.
     StreamBroken(RequestId, Option<u64>),
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -169,9 +169,9 @@
             return;
         }
         let mut others = self.endpoints.values().map(|endpoint| &endpoint.member);
-        let next = others.find(|member| member.address == address && member.instance != id);
-        match next.map(|member| member.instance.clone()) {
-            Some(next) => self.by_address.insert(address, next),
+        let successor = others.find(|member| member.address == address && member.instance != id);
+        match successor.map(|member| member.instance.clone()) {
+            Some(instance) => self.by_address.insert(address, instance),
             None => self.by_address.remove(&address),
         };
     }
--- a/crates/pool/src/rate.rs
+++ b/crates/pool/src/rate.rs
@@ -15,28 +15,28 @@
 /// another, and one without requests for a second must not count as idle.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Rate {
-    slow: f64,
-    fast: f64,
-    at: Millis,
+    slow_count: f64,
+    fast_count: f64,
+    updated_at: Millis,
 }
 
 impl Rate {
     /// Counts one event.
     pub(crate) fn add(&mut self, now: Millis) {
-        self.slow = self.decayed(self.slow, SLOW_MS, now) + 1.0;
-        self.fast = self.decayed(self.fast, FAST_MS, now) + 1.0;
-        self.at = now;
+        self.slow_count = self.decayed(self.slow_count, SLOW_MS, now) + 1.0;
+        self.fast_count = self.decayed(self.fast_count, FAST_MS, now) + 1.0;
+        self.updated_at = now;
     }
 
     /// Returns the events a second at `now`.
     pub(crate) fn per_s(&self, now: Millis) -> f64 {
-        let slow = self.decayed(self.slow, SLOW_MS, now) * 1_000.0 / SLOW_MS;
+        let slow_rate = self.decayed(self.slow_count, SLOW_MS, now) * 1_000.0 / SLOW_MS;
         // A single event gives no rate.
-        let fast = (self.decayed(self.fast, FAST_MS, now) - 1.0) * 1_000.0 / FAST_MS;
-        slow.max(fast)
+        let fast_rate = (self.decayed(self.fast_count, FAST_MS, now) - 1.0) * 1_000.0 / FAST_MS;
+        slow_rate.max(fast_rate)
     }
 
     fn decayed(&self, weight: f64, decay_ms: f64, now: Millis) -> f64 {
-        weight * (-(now.since(self.at) as f64) / decay_ms).exp()
+        weight * (-(now.since(self.updated_at) as f64) / decay_ms).exp()
     }
 }
--- a/crates/pool/src/side/missed.rs
+++ b/crates/pool/src/side/missed.rs
@@ -8,8 +8,8 @@
 /// Milliseconds in which the weight of a request decays to 1/e: distinguishes a model that has no
 /// replica for ten seconds from one that two callers happened to request in the same second.
 const DECAY_MS: f64 = 10_000.0;
-/// Requests a second, in thousandths, below which a model is no longer reported: one in twenty
-/// seconds.
+/// Requests a second, in thousandths, below which a model is no longer reported: one request in
+/// twenty seconds.
 const MIN_RATE_MILLI: u32 = 50;
 /// Maximum number of models reported, those with the highest rates first.
 const MAX_REPORTED: usize = 16;
--- a/crates/pool/src/side/mod.rs
+++ b/crates/pool/src/side/mod.rs
@@ -40,7 +40,7 @@
 const IDLE_POLL_MS: u64 = 200;
 /// Milliseconds between published states that contain no change.
 const PUBLISH_INTERVAL_MS: u64 = 500;
-/// Typical milliseconds of an unload: 20 to 70 without running requests, 400 with them.
+/// Typical milliseconds of an unload: 20 to 70 ms without running requests, 400 ms with them.
 const TYPICAL_UNLOAD_MS: u64 = 150;
 /// Typical milliseconds of an adapter load, including the poll that shows it.
 const TYPICAL_ADAPTER_MS: u64 = 25;
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 struct IssuedOrder {
     order: Order,
-    at: Millis,
+    issued_at: Millis,
     outcome: Option<OrderOutcome>,
     /// Whether it is a load from the weight store.
     from_store: bool,
@@ -69,7 +69,7 @@
     request: LoadRequest,
     deadline: Millis,
     /// When it was planned and published to all entries.
-    at: Millis,
+    planned_at: Millis,
     /// Models still to be unloaded for it.
     evictions: Vec<String>,
 }
@@ -243,8 +243,8 @@
         self.loaded_at.clear();
         // An order for the previous incarnation that is still in flight may be carried out by this
         // one, which may have the same name. Tokens that increase across incarnations prevent this.
-        let last = self.token.filter(|_| report.started.is_some());
-        self.token = Some(first_token(report).max(last.map_or(0, |token| token + 1)));
+        let last_token = self.token.filter(|_| report.started.is_some());
+        self.token = Some(first_token(report).max(last_token.map_or(0, |token| token + 1)));
         self.incarnation_name.clear(self.now);
         self.report = None;
     }
@@ -264,7 +264,7 @@
                     .with("adapter", &order.adapter)
                     .with("done", done)
                     .with("sequence", report.sequence)
-                    .with("took_ms", self.now.since(issued.at));
+                    .with("took_ms", self.now.since(issued.issued_at));
                 ended.push(event);
                 *slot = None;
             }
@@ -434,7 +434,8 @@
             planned.evictions.len() as u64 * TYPICAL_UNLOAD_MS
                 + self.load_ms(report, &planned.request)
         });
-        let elapsed = self.model_order.as_ref().map_or(0, |issued| self.now.since(issued.at));
+        let elapsed =
+            self.model_order.as_ref().map_or(0, |issued| self.now.since(issued.issued_at));
         plan.sum::<u64>().saturating_sub(elapsed)
     }
 
@@ -445,7 +446,7 @@
             OrderKind::Load => self.model_load_ms(report, &issued.order.model),
             OrderKind::Unload => TYPICAL_UNLOAD_MS,
         };
-        total.saturating_sub(self.now.since(issued.at))
+        total.saturating_sub(self.now.since(issued.issued_at))
     }
 
     /// Returns the duration so far of the current load from the weight store, in thousandths of its
@@ -463,7 +464,7 @@
     fn slowdown(&self, issued: &IssuedOrder) -> u32 {
         let spec = self.engine().and_then(|engine| engine.model(&issued.order.model));
         let usual = spec.map_or(1, |spec| spec.store_ms.max(1));
-        (self.now.since(issued.at) * 1_000 / usual) as u32
+        (self.now.since(issued.issued_at) * 1_000 / usual) as u32
     }
 
     /// Returns the estimated milliseconds of the requested load on this endpoint.
--- a/crates/pool/src/side/orders.rs
+++ b/crates/pool/src/side/orders.rs
@@ -18,7 +18,7 @@
 /// has begun.
 const MIN_ADAPTER_RESIDENCY_MS: u64 = 150;
 /// Milliseconds after which an order without an answer is sent again. It cannot take effect twice,
-/// because both carry the same expected sequence.
+/// because it is sent again with the same expected sequence.
 const ORDER_RETRY_MS: u64 = 400;
 
 impl PoolSide {
@@ -73,9 +73,9 @@
         let mut retries = Vec::new();
         for issued in [&mut self.model_order, &mut self.adapter_order].into_iter().flatten() {
             let unanswered = issued.outcome.is_none_or(|outcome| outcome == OrderOutcome::Unknown);
-            let due = unanswered && now.since(issued.at) > ORDER_RETRY_MS;
+            let due = unanswered && now.since(issued.issued_at) > ORDER_RETRY_MS;
             if due && report.sequence == issued.order.sequence {
-                issued.at = now;
+                issued.issued_at = now;
                 issued.outcome = None;
                 retries.push(issued.order.clone());
             }
@@ -95,7 +95,7 @@
         let request = &planned.request;
         let Some(spec) = engine.model(&request.model) else { return };
         if let Some(model) = planned.evictions.first() {
-            if self.now.since(planned.at) < EVICTION_NOTICE_MS {
+            if self.now.since(planned.planned_at) < EVICTION_NOTICE_MS {
                 return;
             }
             self.issue(OrderKind::Unload, model, "", request, report);
@@ -195,7 +195,7 @@
         let concurrent = request.store_loads;
         let issued = Some(IssuedOrder {
             order: order.clone(),
-            at: self.now,
+            issued_at: self.now,
             outcome: None,
             from_store,
             concurrent,
--- a/crates/pool/src/side/plan.rs
+++ b/crates/pool/src/side/plan.rs
@@ -50,7 +50,12 @@
                         .with("before", self.plan.len())
                         .with("waiting", request.waiting),
                 );
-                self.plan.push_back(PlannedLoad { request, deadline, at: self.now, evictions });
+                self.plan.push_back(PlannedLoad {
+                    request,
+                    deadline,
+                    planned_at: self.now,
+                    evictions,
+                });
             }
             _ => {
                 let name = ModelName { model: request.model, adapter: request.adapter };
--- a/crates/pool/src/side/report.rs
+++ b/crates/pool/src/side/report.rs
@@ -47,10 +47,11 @@
         return Some(true);
     }
     // An unload waits for running requests, and the model is reported as held in the meantime.
-    let unloading = order.kind == OrderKind::Unload && now.since(issued.at) < UNLOAD_TIMEOUT_MS;
+    let unloading =
+        order.kind == OrderKind::Unload && now.since(issued.issued_at) < UNLOAD_TIMEOUT_MS;
     let pending = report.pending.contains(&full_name(&order.model, &order.adapter));
     let accepted = report.sequence > order.sequence;
-    let ended = accepted && !report.busy && !pending && now.since(issued.at) > BUSY_POLL_MS;
+    let ended = accepted && !report.busy && !pending && now.since(issued.issued_at) > BUSY_POLL_MS;
     (ended && !unloading).then_some(false)
 }
 
--- a/crates/pool/src/table_follower.rs
+++ b/crates/pool/src/table_follower.rs
@@ -1,8 +1,9 @@
 //! Reading one table of the platform store continuously: which call to make next, its timeout, and
 //! when.
 //!
-//! The store may answer nobody for seconds and then everybody at once. A call made during such an
-//! outage is never answered, not even after the store has recovered.
+//! The store may answer no process for seconds, and then answer all of them again at the same
+//! moment. A call made during such an outage is never answered, not even after the store has
+//! recovered.
 
 use citronrill_base::hash_bytes;
 
@@ -11,7 +12,7 @@
 /// Minimum milliseconds for which the store holds a call for changes, however short the allowed
 /// recovery time is.
 const MIN_HOLD_MS: u64 = 200;
-/// Maximum milliseconds for which it holds one.
+/// Maximum milliseconds for which the store holds a call for changes.
 const MAX_HOLD_MS: u64 = 5_000;
 /// Milliseconds from a call that fails immediately to the next one.
 const FAILED_PAUSE_MS: u64 = 250;
--- a/crates/pool/tests/all/config_transfer.rs
+++ b/crates/pool/tests/all/config_transfer.rs
@@ -231,14 +231,14 @@
     free_at: Vec<u64>,
     /// The longest time a byte has waited for an entry's link.
     longest_wait: u64,
-    sent: u64,
+    sent_bytes: u64,
     sides: Vec<Fetch>,
     received_at: Vec<Option<u64>>,
     queue: BinaryHeap<Reverse<(u64, NetworkEvent)>>,
 }
 
-/// Milliseconds one way between an entry and a side.
-const DELAY: u64 = 2;
+/// One-way latency between an entry and a side, in milliseconds.
+const ONE_WAY_MS: u64 = 2;
 
 impl Network {
     /// Entries receive the new configuration at the times in `known_at`; sides have version `old`.
@@ -258,7 +258,7 @@
             servers: rates.iter().map(|_| ConfigServer::default()).collect(),
             free_at: vec![0; rates.len()],
             longest_wait: 0,
-            sent: 0,
+            sent_bytes: 0,
             sides: (0..sides).map(side).collect(),
             received_at: vec![None; sides],
             queue,
@@ -302,11 +302,11 @@
         let request = ConfigChunkRequest { version: request.0, offset: request.1 };
         let part = self.servers[entry].answer(Millis(now), side, &request, encoded_config);
         let bytes = part.bytes.len() as u64;
-        self.sent += bytes;
+        self.sent_bytes += bytes;
         let send_at = self.free_at[entry].max(now);
         self.longest_wait = self.longest_wait.max(send_at - now);
         self.free_at[entry] = send_at + bytes / self.rates[entry];
-        let arrival = self.free_at[entry] + DELAY;
+        let arrival = self.free_at[entry] + ONE_WAY_MS;
         self.queue.push(Reverse((
             arrival,
             NetworkEvent::AnswerReceived(side, entry, (part.offset, bytes)),
@@ -322,7 +322,7 @@
                         entry as usize,
                         (request.version, request.offset),
                     );
-                    self.queue.push(Reverse((now + DELAY, received)));
+                    self.queue.push(Reverse((now + ONE_WAY_MS, received)));
                 }
                 ConfigFetchEffect::Complete(_, complete) => {
                     assert_eq!(complete, self.config);
@@ -338,24 +338,25 @@
     }
 }
 
-/// 10 Mbit/s and 200 Mbit/s, in bytes per millisecond.
-const SLOW: u64 = 1_250;
-const FAST: u64 = 25_000;
+/// Rate of a slow link, in bytes per millisecond: 10 Mbit/s.
+const SLOW_RATE: u64 = 1_250;
+/// Rate of a fast link, in bytes per millisecond: 200 Mbit/s.
+const FAST_RATE: u64 = 25_000;
 /// Strictest limit for the time that an event of a stream spends at an entry, in milliseconds.
-const PASS_MS: u64 = 120;
+const MAX_EVENT_DELAY_MS: u64 = 120;
 
 /// A configuration of 0.8 MB reaches a deployment of 30 entries, 24 of them with slow links, and 55
 /// sides. Each side receives it once and within the time limit of a change, and no byte waits long
 /// at an entry's link. Pushed without a request, 55 copies would occupy a slow link for 35 s.
 #[test]
 fn large_configuration_reaches_all_sides_once() {
-    let rates = (0..30).map(|entry| if entry < 6 { FAST } else { SLOW }).collect();
+    let rates = (0..30).map(|entry| if entry < 6 { FAST_RATE } else { SLOW_RATE }).collect();
     let known_at = (0..30).map(|entry| if entry < 6 { 40 } else { 960 }).collect::<Vec<_>>();
     let mut network = Network::new(810_000, rates, &known_at, 55, 1);
     let last = network.run();
     assert!(last <= 3_000, "the last side received it after {last} ms");
-    assert_eq!(network.sent, 55 * 810_000);
-    assert!(network.longest_wait <= PASS_MS / 2, "{} ms", network.longest_wait);
+    assert_eq!(network.sent_bytes, 55 * 810_000);
+    assert!(network.longest_wait <= MAX_EVENT_DELAY_MS / 2, "{} ms", network.longest_wait);
 }
 
 /// Only one entry is left, and its link is slow. Its sides receive the configuration in turn, and
@@ -364,10 +365,10 @@
 #[case::at_start(0)]
 #[case::of_a_newer_config(1)]
 fn one_slow_entry_serves_all_sides(#[case] old: u64) {
-    let mut network = Network::new(290_000, vec![SLOW], &[300], 18, old);
+    let mut network = Network::new(290_000, vec![SLOW_RATE], &[300], 18, old);
     network.run();
-    assert_eq!(network.sent, 18 * 290_000);
-    assert!(network.longest_wait <= PASS_MS / 2, "{} ms", network.longest_wait);
+    assert_eq!(network.sent_bytes, 18 * 290_000);
+    assert!(network.longest_wait <= MAX_EVENT_DELAY_MS / 2, "{} ms", network.longest_wait);
 }
 
 /// Whatever peers send, in whatever order: at most one request is open, to a connected peer that
--- a/crates/pool/tests/all/entry.rs
+++ b/crates/pool/tests/all/entry.rs
@@ -33,7 +33,8 @@
     assert!(bench.entry.ready());
 }
 
-/// The same if the member list arrives first.
+/// A load balancer must not send requests to a process that has the member list but no
+/// configuration yet.
 #[test]
 fn entry_with_a_member_list_only_is_not_ready() {
     let mut bench = Bench::unconfigured();
@@ -59,7 +60,8 @@
     assert_eq!(refusal(&bench.request("/added/x", "").1).unwrap().0, Reason::NoRoute);
 }
 
-/// The same for a process that starts during the outage and gets its configuration from a peer.
+/// A process that starts during an outage of the platform store and gets its configuration from a
+/// peer must not tell callers either that a route does not exist.
 #[test]
 fn missing_routes_are_retryable_with_a_configuration_from_a_peer() {
     let mut bench = Bench::unconfigured();
@@ -212,7 +214,8 @@
     assert!(forwards(&effects));
 }
 
-/// The same for a request that may run only once: it is not retried, as it may be running.
+/// An instance loses power with a request on it that may run only once. The request is not retried,
+/// as it may be running.
 #[test]
 fn unanswered_request_that_may_run_once_is_not_retried() {
     let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
--- a/crates/pool/tests/all/incarnation.rs
+++ b/crates/pool/tests/all/incarnation.rs
@@ -16,9 +16,9 @@
 };
 
 /// Start time of the endpoint's first incarnation, in Unix milliseconds.
-const FIRST: u64 = 1_790_000_000_000;
+const FIRST_START: u64 = 1_790_000_000_000;
 /// Start time of its second incarnation.
-const SECOND: u64 = FIRST + 60_000;
+const SECOND_START: u64 = FIRST_START + 60_000;
 
 fn member_started(member: Member, at: u64) -> Member {
     Member { started: Some(StartTime(at)), ..member }
@@ -81,10 +81,10 @@
 #[case(3)]
 #[case(9)]
 fn restart_is_detected_with_any_order_count(#[case] sequence: u64) {
-    let mut side = side_of(FIRST, 3);
+    let mut side = side_of(FIRST_START, 3);
     side.request_load(load_request("m5", &["m0"]));
     assert_eq!(loading(&side), vec!["m5"]);
-    let effects = side.report(report_started(report(sequence, &["m7"]), SECOND));
+    let effects = side.report(report_started(report(sequence, &["m7"]), SECOND_START));
     assert_eq!((loading(&side), held(&side)), (vec![], vec!["m7".to_owned()]));
     assert_eq!(order(&effects), None);
 }
@@ -93,12 +93,12 @@
 /// were applied, the endpoint would count as holding the models it held before its crash.
 #[test]
 fn late_report_of_the_previous_incarnation_is_ignored() {
-    let mut side = side_of(FIRST, 3);
-    side.report(report_started(report(0, &[]), SECOND));
-    side.report(report_started(report(4, &["m0", "m1"]), FIRST));
+    let mut side = side_of(FIRST_START, 3);
+    side.report(report_started(report(0, &[]), SECOND_START));
+    side.report(report_started(report(4, &["m0", "m1"]), FIRST_START));
     assert!(held(&side).is_empty());
-    side.report(report_started(report(1, &["m5"]), SECOND));
-    side.report(report_started(report(0, &[]), SECOND));
+    side.report(report_started(report(1, &["m5"]), SECOND_START));
+    side.report(report_started(report(0, &[]), SECOND_START));
     assert_eq!(held(&side), vec!["m5"], "a late report of the same incarnation is ignored too");
 }
 
@@ -106,9 +106,9 @@
 /// earlier start time. Its reports look late at first, but must not be ignored forever.
 #[test]
 fn earlier_start_time_is_accepted_once_it_persists() {
-    let mut side = side_of(SECOND, 3);
+    let mut side = side_of(SECOND_START, 3);
     for _ in 0..120 {
-        side.report(report_started(report(0, &["m2"]), FIRST));
+        side.report(report_started(report(0, &["m2"]), FIRST_START));
     }
     assert_eq!(held(&side), vec!["m2"]);
 }
@@ -118,19 +118,20 @@
 /// refused; the next one waits for a new report and uses the new count.
 #[test]
 fn late_order_of_the_previous_incarnation_is_counted() {
-    let mut side = side_of(FIRST, 0);
+    let mut side = side_of(FIRST_START, 0);
     let lost = order(&side.request_load(load_request("m5", &[]))).unwrap();
     side.step(SideEvent::OrderAnswered(lost.number, OrderOutcome::Unknown, None));
-    side.report(report_started(report(0, &[]), SECOND));
+    side.report(report_started(report(0, &[]), SECOND_START));
     side.step(SideEvent::NameReported("i1".to_owned()));
-    let next =
-        order(&side.request_load(LoadRequest { started: Some(SECOND), ..load_request("m6", &[]) }))
-            .unwrap();
+    let next = order(
+        &side.request_load(LoadRequest { started: Some(SECOND_START), ..load_request("m6", &[]) }),
+    )
+    .unwrap();
     assert!(next.token > lost.token, "{} after {}", next.token, lost.token);
     side.step(SideEvent::OrderAnswered(next.number, OrderOutcome::Conflict, None));
-    let busy = EngineReport { busy: true, ..report_started(report(1, &[]), SECOND) };
+    let busy = EngineReport { busy: true, ..report_started(report(1, &[]), SECOND_START) };
     assert_eq!(order(&side.report(busy)), None, "the late order is in progress");
-    let effects = side.report(report_started(report(1, &["m5"]), SECOND));
+    let effects = side.report(report_started(report(1, &["m5"]), SECOND_START));
     assert_eq!(order(&effects).unwrap().sequence, 1);
 }
 
@@ -139,9 +140,9 @@
 /// late ones for the previous one.
 #[test]
 fn tokens_increase_across_restarts_of_side_and_endpoint() {
-    let mut first = side_of(FIRST, 41);
+    let mut first = side_of(FIRST_START, 41);
     let before = order(&first.request_load(load_request("m5", &[]))).unwrap().token;
-    let mut second = side_of(SECOND, 0);
+    let mut second = side_of(SECOND_START, 0);
     let after = order(&second.request_load(load_request("m5", &[]))).unwrap().token;
     assert!(after > before, "{after} after {before}");
 }
@@ -150,12 +151,12 @@
 /// candidates and free memory no longer apply, so the side declines.
 #[test]
 fn load_request_for_the_previous_incarnation_is_declined() {
-    let mut side = side_of(SECOND, 0);
+    let mut side = side_of(SECOND_START, 0);
     assert!(declined(
-        &side.request_load(LoadRequest { started: Some(FIRST), ..load_request("m5", &[]) })
+        &side.request_load(LoadRequest { started: Some(FIRST_START), ..load_request("m5", &[]) })
     ));
     assert!(!declined(
-        &side.request_load(LoadRequest { started: Some(SECOND), ..load_request("m5", &[]) })
+        &side.request_load(LoadRequest { started: Some(SECOND_START), ..load_request("m5", &[]) })
     ));
 }
 
@@ -164,14 +165,14 @@
 /// refused and lose time.
 #[test]
 fn restart_seen_in_the_list_discards_the_side_state() {
-    let mut bench = Bench::new(vec![member_started(member(1, ENGINE, &["m0"]), FIRST)]);
-    bench.step(EntryEvent::SideReport(address(1), state_started(state(3, &["m0"]), FIRST)));
+    let mut bench = Bench::new(vec![member_started(member(1, ENGINE, &["m0"]), FIRST_START)]);
+    bench.step(EntryEvent::SideReport(address(1), state_started(state(3, &["m0"]), FIRST_START)));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m0"), Some("i1".to_owned()));
-    update_row(&mut bench, 2, "i1", Some(member_started(member(1, ENGINE, &["m1"]), SECOND)));
+    update_row(&mut bench, 2, "i1", Some(member_started(member(1, ENGINE, &["m1"]), SECOND_START)));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m1"), Some("i1".to_owned()));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m0"), None);
     // The side has not polled again yet and still reports the previous incarnation.
-    bench.step(EntryEvent::SideReport(address(1), state_started(state(3, &["m0"]), FIRST)));
+    bench.step(EntryEvent::SideReport(address(1), state_started(state(3, &["m0"]), FIRST_START)));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m0"), None);
 }
 
@@ -180,12 +181,12 @@
 /// two arrive.
 #[test]
 fn older_row_never_replaces_a_newer_incarnation() {
-    let mut bench = Bench::new(vec![member_started(member(1, ENGINE, &["m0"]), FIRST)]);
-    bench.step(EntryEvent::SideReport(address(1), state_started(state(0, &["m1"]), SECOND)));
+    let mut bench = Bench::new(vec![member_started(member(1, ENGINE, &["m0"]), FIRST_START)]);
+    bench.step(EntryEvent::SideReport(address(1), state_started(state(0, &["m1"]), SECOND_START)));
     // Long enough for the side's report to be no longer recent.
     bench.advance(2_100);
     bench.step(EntryEvent::ProbeReply(address(1)));
-    update_row(&mut bench, 2, "i1", Some(member_started(member(1, ENGINE, &["m0"]), FIRST)));
+    update_row(&mut bench, 2, "i1", Some(member_started(member(1, ENGINE, &["m0"]), FIRST_START)));
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m0"), None);
     assert_eq!(dispatched_to(&mut bench, "/chat/x", "m1"), Some("i1".to_owned()));
 }
@@ -194,8 +195,9 @@
 /// change again: the row is accepted after two heartbeats, as nothing has contradicted it.
 #[test]
 fn older_row_that_persists_is_accepted() {
-    let moved = Member { address: address(9), ..member_started(member(1, PLAIN, &[]), FIRST) };
-    let mut bench = Bench::new(vec![member_started(member(1, PLAIN, &[]), SECOND)]);
+    let moved =
+        Member { address: address(9), ..member_started(member(1, PLAIN, &[]), FIRST_START) };
+    let mut bench = Bench::new(vec![member_started(member(1, PLAIN, &[]), SECOND_START)]);
     update_row(&mut bench, 2, "i1", Some(moved));
     let (_, effects) = bench.request("/book/x", "");
     assert_eq!(dispatch(&effects).unwrap().address, address(1));
@@ -208,11 +210,11 @@
 /// requests stop at once: whether the clock was set back or the row is late shows only later.
 #[test]
 fn leaving_flag_of_an_older_incarnation_is_applied_at_once() {
-    let leaving = Member { leaving: true, ..member_started(member(1, PLAIN, &[]), FIRST) };
-    let mut bench = Bench::new(vec![member_started(member(1, PLAIN, &[]), SECOND)]);
+    let leaving = Member { leaving: true, ..member_started(member(1, PLAIN, &[]), FIRST_START) };
+    let mut bench = Bench::new(vec![member_started(member(1, PLAIN, &[]), SECOND_START)]);
     update_row(&mut bench, 2, "i1", Some(leaving));
     assert_eq!(dispatched_to(&mut bench, "/book/x", ""), None);
-    update_row(&mut bench, 3, "i1", Some(member_started(member(1, PLAIN, &[]), SECOND)));
+    update_row(&mut bench, 3, "i1", Some(member_started(member(1, PLAIN, &[]), SECOND_START)));
     assert_eq!(dispatched_to(&mut bench, "/book/x", ""), Some("i1".to_owned()));
 }
 
@@ -220,7 +222,7 @@
 /// incarnation must not make the healthy, empty new one the last choice for a while.
 #[test]
 fn new_incarnation_has_no_failure_history() {
-    let members = vec![member_started(member(1, PLAIN, &[]), FIRST), member(2, PLAIN, &[])];
+    let members = vec![member_started(member(1, PLAIN, &[]), FIRST_START), member(2, PLAIN, &[])];
     let mut bench = Bench::new(members);
     for _ in 0..8 {
         let (id, effects) = bench.request("/book/x", "");
@@ -229,7 +231,7 @@
         }
     }
     assert_eq!(dispatched_to(&mut bench, "/book/x", ""), Some("i2".to_owned()));
-    update_row(&mut bench, 2, "i1", Some(member_started(member(1, PLAIN, &[]), SECOND)));
+    update_row(&mut bench, 2, "i1", Some(member_started(member(1, PLAIN, &[]), SECOND_START)));
     assert_eq!(dispatched_to(&mut bench, "/book/x", ""), Some("i1".to_owned()));
 }
 
@@ -237,14 +239,14 @@
 /// request, so the entry repeats it at once instead of waiting for it to expire.
 #[test]
 fn load_request_is_repeated_after_a_restart() {
-    let mut bench = Bench::new(vec![member_started(member(1, ENGINE, &["m0"]), FIRST)]);
-    bench.step(EntryEvent::SideReport(address(1), state_started(state(3, &["m0"]), FIRST)));
+    let mut bench = Bench::new(vec![member_started(member(1, ENGINE, &["m0"]), FIRST_START)]);
+    bench.step(EntryEvent::SideReport(address(1), state_started(state(3, &["m0"]), FIRST_START)));
     let (_, effects) = bench.request("/chat/x", "m5");
-    assert_eq!(requested_load(&effects).unwrap().1.started, Some(FIRST));
+    assert_eq!(requested_load(&effects).unwrap().1.started, Some(FIRST_START));
     let effects =
-        bench.step(EntryEvent::SideReport(address(1), state_started(state(0, &[]), SECOND)));
+        bench.step(EntryEvent::SideReport(address(1), state_started(state(0, &[]), SECOND_START)));
     let (_, load_request) = requested_load(&effects).unwrap();
-    assert_eq!((load_request.model.as_str(), load_request.started), ("m5", Some(SECOND)));
+    assert_eq!((load_request.model.as_str(), load_request.started), ("m5", Some(SECOND_START)));
 }
 
 /// A row of another writer has a service that is not configured and the address of an endpoint in
@@ -260,7 +262,7 @@
     assert_eq!(dispatched_to(&mut bench, "/book/x", ""), Some("i1".to_owned()));
     update_row(&mut bench, 3, "i1", None);
     assert_eq!(dispatched_to(&mut bench, "/book/x", ""), None);
-    // The same before any configuration is known.
+    // A row that arrives before any configuration is known does not replace the endpoint either.
     let mut bench = Bench::unconfigured();
     bench.set_members(1, vec![member(1, PLAIN, &[]), foreign]);
     bench.step(EntryEvent::Config(config(1)));
--- a/crates/pool/tests/all/load_priority.rs
+++ b/crates/pool/tests/all/load_priority.rs
@@ -57,8 +57,9 @@
     );
 }
 
-/// 68 entries each loaded what they missed themselves. A model with thirty missed requests a second
-/// waited for a whole day behind models with one request in ten seconds.
+/// Guards against entries that each request only the models that they missed themselves: with 68
+/// such entries, a model with thirty missed requests a second waited for a whole day behind models
+/// with one request in ten seconds.
 #[test]
 fn model_with_the_highest_miss_rate_is_loaded_first() {
     let mut bench = bench_of_twenty();
--- a/crates/pool/tests/all/member_list.rs
+++ b/crates/pool/tests/all/member_list.rs
@@ -7,7 +7,7 @@
 use crate::support::{Bench, ENGINE, address, dispatch, member, refusal, requested_load, state};
 
 /// After a power loss of all instances, the member list still names models that were loaded before.
-/// Requests dispatched on that basis were refused and used up the retry budget.
+/// Guards against dispatching requests on that basis: they are refused and use up the retry budget.
 #[test]
 fn unconfirmed_models_of_the_list_are_not_used_at_once() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"])]);
--- a/crates/pool/tests/all/placement.rs
+++ b/crates/pool/tests/all/placement.rs
@@ -34,8 +34,8 @@
 }
 
 /// The member list lags by seconds and still names a model that its side reports as being evicted.
-/// Requests dispatched there were refused, one in eighteen under normal load; the side's report
-/// must decide.
+/// Requests dispatched there were refused (one request in eighteen under normal load); the side's
+/// report must decide.
 #[test]
 fn side_state_overrides_the_member_list() {
     let members = vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m0"])];
@@ -413,10 +413,10 @@
 }
 
 /// A model with seven requests a second is loaded at one instance, and no other has its weights
-/// cached. No second replica was loaded although the weight store was idle, and all callers of the
-/// model hung when that instance stalled (22 of 27 streams, each `event=sent ... able=1`). The six
-/// seconds of the load counted as waiting time of callers, although the first replica served them
-/// meanwhile.
+/// cached. Guards against loading no second replica although the weight store is idle: all callers
+/// of the model hung when that instance stalled (22 of 27 streams, each `event=sent ... able=1`).
+/// The six seconds of the load counted as waiting time of callers, although the first replica
+/// served them meanwhile.
 #[test]
 fn busy_model_gets_a_second_replica_from_an_idle_store() {
     let others = [bare_endpoint(2, &[("m1", 4)]), bare_endpoint(3, &[("m2", 4)])];
@@ -442,8 +442,8 @@
     assert!(load_request.eviction_candidates.is_empty());
 }
 
-/// The same, but the third instance is full of models in demand: evicting one of them would cost
-/// more callers than the possible stall.
+/// A replica against stalls is not loaded if the third instance is full of models in demand:
+/// evicting one of them would cost more callers than the possible stall.
 #[test]
 fn replica_against_stalls_evicts_no_model_in_demand() {
     let busy_model = [("m0", 10)];
@@ -484,11 +484,11 @@
     instances.filter(|instance| instance == "i1").count()
 }
 
-/// Two instances hold the model of all callers, and the entry is in the zone of one. With a hundred
-/// slots an engine never looks full, so all 24 streams went to the near one. When it stalled, every
-/// caller hung, and runs of callers that left could not be cancelled (12 of 24 streams at one
-/// endpoint of nine, and 5 of 17 runs that continued). The share of all streams at one endpoint had
-/// no cost.
+/// Two instances hold the model of all callers, and the entry is in the zone of one. An engine with
+/// a hundred slots never looks full, so all 24 streams went to the near instance while the share of
+/// streams at one endpoint had no cost. When that instance stalled, every caller hung, and runs of
+/// callers that left could not be cancelled (12 of 24 streams at one endpoint of nine, and 5 of 17
+/// runs that continued).
 #[test]
 fn no_holder_gets_nearly_all_streams() {
     let near = sent_to_first(&mut wide_holders(&["a", "b"]), 24);
--- a/crates/pool/tests/all/preload.rs
+++ b/crates/pool/tests/all/preload.rs
@@ -108,9 +108,9 @@
     assert!(load_requests(&bench.advance(1_000)).is_empty());
 }
 
-/// The busiest model and another one with demand have lost all endpoints. While the first was
-/// already being loaded at one endpoint, six load requests for it were sent at once, and the other
-/// model was ready 18 s later.
+/// The busiest model and another one with demand have lost all endpoints. Guards against sending
+/// six load requests at once for the busiest model while it is already being loaded at one
+/// endpoint: the other model was then ready 18 s later.
 #[test]
 fn first_load_of_a_model_precedes_a_second_load_of_another() {
     let members = (1..6).map(|index| bare(index, &[])).collect();
--- a/crates/pool/tests/all/simulated_loads.rs
+++ b/crates/pool/tests/all/simulated_loads.rs
@@ -43,8 +43,8 @@
 }
 
 /// Engines crash in turn under streams of which half may run only once. Streams with an event
-/// resume at another engine, from a copy or by a new run; without that, 55, 83 and 55 of them were
-/// cut instead of 6, 15 and 7.
+/// resume at another engine, from a copy or by a new run; without resuming, 55, 83 and 55 streams
+/// were cut with the three seeds instead of 6, 15 and 7.
 #[rstest]
 fn streams_survive_engine_crashes(#[values(1, 2, 3)] seed: u64) {
     let load = Load { busy_per_s: 60.0, rare_per_s: 20.0, rare_models: 4, seconds: 20 };
@@ -65,7 +65,8 @@
     assert!(stats.busy_served > 0, "{stats:?}");
 }
 
-/// The same with endpoints that restart under the same name and report their start time.
+/// The invariants also hold with endpoints that restart under the same name and report their start
+/// time.
 #[rstest]
 fn invariants_hold_under_random_faults_with_kept_names(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] seed: u64,
@@ -78,8 +79,8 @@
     assert!(stats.busy_served > 0, "{stats:?}");
 }
 
-/// The same over more seeds: `CITRONRILL_POOL_SEEDS=FIRST:COUNT` sets them, two by default. Sizes,
-/// loads and a power loss vary with the seed.
+/// The invariants hold over more seeds: `CITRONRILL_POOL_SEEDS=FIRST:COUNT` sets them, two by
+/// default. The pool's size, the load and a power loss vary with the seed.
 #[test]
 fn invariants_hold_in_random_simulations() {
     let named = std::env::var("CITRONRILL_POOL_SEEDS").unwrap_or("1000:2".to_owned());
--- a/crates/pool/tests/all/simulation/engines.rs
+++ b/crates/pool/tests/all/simulation/engines.rs
@@ -135,9 +135,9 @@
             self.record_violation(format!("engine {index} is ordered to use {used} MB"));
         }
         let loads = self.engines.iter().filter(|engine| engine.remote_load).count();
-        let slow = (loads as f64 / STORE_CONCURRENCY as f64).max(1.0);
-        let takes = if remote_load { (6_000.0 * slow) as u64 } else { 800 };
-        self.schedule(self.now + takes, SimEvent::OrderDone(index, incarnation, order));
+        let slowdown = (loads as f64 / STORE_CONCURRENCY as f64).max(1.0);
+        let load_ms = if remote_load { (6_000.0 * slowdown) as u64 } else { 800 };
+        self.schedule(self.now + load_ms, SimEvent::OrderDone(index, incarnation, order));
     }
 
     pub(super) fn finish_order(&mut self, index: usize, incarnation: u32, order: &Order) {
--- a/crates/pool/tests/all/stalls.rs
+++ b/crates/pool/tests/all/stalls.rs
@@ -69,7 +69,8 @@
     stats.stalled
 }
 
-/// Callers of streams leave while an instance is stalled; most of their runs continued there.
+/// Callers of streams leave while an instance is stalled. Guards against most of their runs
+/// continuing at that instance.
 #[rstest]
 #[case::nine(9, 4, 30.0)]
 #[case::eighteen(18, 4, 60.0)]
@@ -88,8 +89,8 @@
     assert!(all.iter().all(|stats| stats.last_dispatch_ms <= MAX_DISPATCH_MS), "{all:?}");
 }
 
-/// Entries kept dispatching to the stalled only holder of a model, where callers hung until they
-/// left.
+/// Guards against dispatching to the only holder of a model while it is stalled, where callers hang
+/// until they leave.
 #[test]
 fn nothing_is_dispatched_to_a_stalled_only_holder() {
     let mut bench = Bench::new(vec![
@@ -116,7 +117,7 @@
     );
 }
 
-/// A resumable stream hung at a stalled instance until its caller left.
+/// Guards against a resumable stream that hangs at a stalled instance until its caller leaves.
 #[test]
 fn resumable_stream_fails_over_from_a_stalled_instance() {
     let mut bench = bench(3);
@@ -141,8 +142,8 @@
     assert!(!effects.contains(&EntryEffect::Disconnect(id)), "{effects:?}");
 }
 
-/// A stream that may run only once was resumed from its copy while its endpoint was stalled. When
-/// that endpoint responded again, two engines worked on the same run.
+/// Guards against resuming a stream that may run only once from its copy while its endpoint is
+/// stalled: when that endpoint responds again, two engines work on the same run.
 #[rstest]
 #[case::without_a_copy(false)]
 #[case::with_a_copy(true)]
@@ -162,8 +163,8 @@
     assert_eq!(bench.entry.in_flight(), 1);
 }
 
-/// An entry that was stalled itself took all instances for stalled, as it had not read their
-/// replies yet.
+/// Guards against an entry that was stalled itself and takes all instances for stalled, as it has
+/// not read their replies yet.
 #[test]
 fn stalled_entry_does_not_suspect_instances() {
     let mut bench = bench(3);
@@ -174,8 +175,8 @@
     assert!(!effects.contains(&EntryEffect::Disconnect(id)), "{effects:?}");
 }
 
-/// An entry without requests ticks rarely. It took these pauses for stalls of its own, and
-/// dispatched the next request to an instance that had long been stalled.
+/// An entry without requests ticks rarely. Guards against taking these intervals for stalls of its
+/// own, after which it dispatches the next request to an instance that has long been stalled.
 #[test]
 fn idle_entry_detects_a_stalled_instance() {
     let mut bench = bench(1);
@@ -199,8 +200,8 @@
     assert!(dispatch(&effects).is_some(), "{effects:?}");
 }
 
-/// With engines of 96 slots and adapters in half of the requests for a model, all adapters went to
-/// one of two holders, which then had most of the runs when it stalled.
+/// Guards against loading all adapters at one of two holders, which then has most of the runs when
+/// it stalls. The engines have 96 slots, and half of the requests for the model use adapters.
 #[test]
 fn adapter_is_loaded_where_fewer_runs_would_hang() {
     let wide = |index| Member { slots: 96, ..member(index, ENGINE, &["m0"]) };
--- a/crates/pool/tests/all/support.rs
+++ b/crates/pool/tests/all/support.rs
@@ -167,7 +167,7 @@
 pub(crate) struct Bench {
     pub(crate) entry: PoolEntry,
     pub(crate) now: u64,
-    next: u64,
+    next_id: u64,
 }
 
 impl Bench {
@@ -189,7 +189,7 @@
             retry_slack: 50.0,
             retry_window_ms: 10_000,
         };
-        Bench { entry: PoolEntry::new(profile), now: 1_000, next: 1 }
+        Bench { entry: PoolEntry::new(profile), now: 1_000, next_id: 1 }
     }
 
     pub(crate) fn step(&mut self, event: EntryEvent) -> Vec<EntryEffect> {
@@ -241,8 +241,8 @@
     }
 
     fn arrival(&mut self, path: &str, model: &str) -> Arrival {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
         Arrival {
             id,
             caller_id: format!("c{}", id.0),
--- a/crates/pool/tests/all/table_follower.rs
+++ b/crates/pool/tests/all/table_follower.rs
@@ -58,8 +58,8 @@
     }
 }
 
-/// With a fixed timeout, a store that answers more slowly than usual was never read, or only on
-/// every third call.
+/// Guards against a fixed timeout, with which a store that answers more slowly than usual is never
+/// read, or only on every third call.
 #[test]
 fn timeout_grows_with_a_slow_store() {
     let profile = FollowerProfile { seed: 1, recover_ms: 3_000, poll_pause_ms: 900 };
--- a/crates/pool/tests/all/ticks.rs
+++ b/crates/pool/tests/all/ticks.rs
@@ -18,7 +18,8 @@
     (count(DueCheck::Urgent), count(DueCheck::Full))
 }
 
-/// Under input without a pause of 20 ms, an entry rarely ran its timers and missed deadlines.
+/// Guards against an entry that rarely runs its timers, and so misses deadlines, while its input
+/// never pauses for 20 ms.
 #[test]
 fn continuous_input_does_not_delay_ticks() {
     assert_eq!(ticks(|_| true), (40, 10));
--- a/crates/pool/tests/all/waiting.rs
+++ b/crates/pool/tests/all/waiting.rs
@@ -43,8 +43,8 @@
 }
 
 /// A caller has a deadline of fifteen seconds but leaves a stream after a silence of 3.2 s. Its
-/// model is ready only in four or six seconds. The request was held until the caller left; it must
-/// be refused at once with a retry time at which the model is ready.
+/// model is ready only in four or six seconds. The request must not be held until the caller
+/// leaves, but refused at once with a retry time at which the model is ready.
 #[rstest]
 #[case(4_000)]
 #[case(6_000)]
@@ -113,7 +113,7 @@
 }
 
 /// Another replica of a busy model takes six seconds to load. A request for an adapter of that
-/// model, which a holder could load in 25 ms, was blocked by the replica.
+/// model, which a holder can load in 25 ms, must not wait for the replica.
 #[test]
 fn adapter_does_not_wait_for_a_replica() {
     let mut bench = Bench::new(vec![member(1, ENGINE, &["m0"]), member(2, ENGINE, &["m1"])]);
--- a/crates/runtime/src/apply.rs
+++ b/crates/runtime/src/apply.rs
@@ -136,31 +136,37 @@
     let version = current + 1;
     let object = format!("config/{version}-{digest}");
     objects.put(&object, config.as_bytes())?;
-    let next = HeadRow { version, digest: digest.clone(), object };
-    let txn = build_txn(table, &old, config, &next, head_version)?;
-    commit(table, &txn, &next, base)
+    let new_head = HeadRow { version, digest: digest.clone(), object };
+    let txn = build_txn(table, &old, config, &new_head, head_version)?;
+    commit(table, &txn, &new_head, base)
 }
 
 fn build_txn(
     table: &dyn Table,
     old: &str,
     new: &str,
-    next: &HeadRow,
+    new_head: &HeadRow,
     head_version: u64,
 ) -> Result<Txn, PlatformError> {
     let delta = Delta::between(old, new);
-    let content_omitted = next.version == 1 || delta.size() > DELTA_LIMIT;
+    let content_omitted = new_head.version == 1 || delta.size() > DELTA_LIMIT;
     let row = if content_omitted {
-        DeltaRow { version: next.version, content_omitted, ..DeltaRow::default() }
+        DeltaRow { version: new_head.version, content_omitted, ..DeltaRow::default() }
     } else {
         let (changed, removed) = (delta.changed, delta.removed);
-        DeltaRow { version: next.version, digest: delta.digest, changed, removed, content_omitted }
+        DeltaRow {
+            version: new_head.version,
+            digest: delta.digest,
+            changed,
+            removed,
+            content_omitted,
+        }
     };
-    let key = delta_key(next.version);
+    let key = delta_key(new_head.version);
     let delta_rows = table.read(std::slice::from_ref(&key))?;
     let delta_row_version = delta_rows.first().map_or(0, |row: &Row| row.version);
     let mut txn = Txn::default();
-    txn.put(HEAD, head_version, Some(next.encode_to_vec()));
+    txn.put(HEAD, head_version, Some(new_head.encode_to_vec()));
     txn.put(key, delta_row_version, Some(row.encode_to_vec()));
     Ok(txn)
 }
@@ -169,10 +175,10 @@
 fn commit(
     table: &dyn Table,
     txn: &Txn,
-    next: &HeadRow,
+    new_head: &HeadRow,
     base: u64,
 ) -> Result<ApplyOutcome, ApplyError> {
-    let version = next.version;
+    let version = new_head.version;
     let mut outcome = table.commit(txn);
     for _ in 0..COMMIT_RETRIES {
         match outcome {
@@ -183,7 +189,7 @@
         }
     }
     let Ok((found, _)) = config_head(table) else { return Err(ApplyError::UnknownOutcome) };
-    if found.version == version && found.digest == next.digest {
+    if found.version == version && found.digest == new_head.digest {
         return Ok(ApplyOutcome::Accepted { version });
     }
     match outcome {
--- a/crates/runtime/src/connect.rs
+++ b/crates/runtime/src/connect.rs
@@ -92,7 +92,7 @@
 /// A listener for peers. Dropping it closes the listener and every connection that it accepted.
 ///
 /// If the connections of a stopped side stayed open, their threads would still answer pings.
-/// Entries would take the side for slow, and callers would wait for their calls until the deadline.
+/// Entries would consider the side alive but slow, and callers would wait until the deadline.
 pub(crate) struct PeerListener {
     address: SocketAddr,
     accepted: Arc<AcceptedLinks>,
--- a/crates/runtime/src/entry/exchange.rs
+++ b/crates/runtime/src/entry/exchange.rs
@@ -27,7 +27,7 @@
     side::WINDOW,
 };
 
-/// Maximum number of messages queued for an exchange: the window, and some for other frames.
+/// Maximum number of messages queued for an exchange: the window and a reserve for other frames.
 const QUEUE_MESSAGES: usize = WINDOW as usize + 16;
 /// How often an exchange checks whether its connection is alive.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
--- a/crates/runtime/src/entry/requests.rs
+++ b/crates/runtime/src/entry/requests.rs
@@ -129,7 +129,7 @@
         idempotency_key: header_value(&request, "Idempotency-Key")
             .map(|key| hash_bytes(key.as_bytes())),
         body_hash: hash_bytes(&body),
-        prefix: parsed.prefix_hash(),
+        prefix_hash: parsed.prefix_hash(),
     };
     let path = request.url().to_owned();
     let event_stream = parsed.stream.unwrap_or(false);
@@ -167,7 +167,7 @@
             .map(|key| hash_bytes(key.as_bytes())),
         // The body has not been read yet, so its length is used instead of its hash.
         body_hash: length.unwrap_or(0),
-        prefix: 0,
+        prefix_hash: 0,
     };
     submit(shared, pending_request(request, body, path, false), incoming);
 }
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -302,11 +302,12 @@
         if !self.opener {
             return elapsed_since(&self.last_received) >= ACCEPTED_TIMEOUT;
         }
-        let due = self.unanswered_since.load(Ordering::Acquire);
-        let overdue = due != u64::MAX && elapsed_since(&self.unanswered_since) >= SILENCE_TIMEOUT;
+        let unanswered_since = self.unanswered_since.load(Ordering::Acquire);
+        let silent = unanswered_since != u64::MAX
+            && elapsed_since(&self.unanswered_since) >= SILENCE_TIMEOUT;
         let unused = self.attached.load(Ordering::Acquire) == 0
             && elapsed_since(&self.last_used) >= IDLE_TIMEOUT;
-        overdue || unused
+        silent || unused
     }
 }
 
--- a/crates/runtime/src/meter.rs
+++ b/crates/runtime/src/meter.rs
@@ -72,11 +72,11 @@
             let _ = writeln!(text, "# TYPE citronrill_{name} gauge\ncitronrill_{name} {value}");
         }
         let counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut last = "";
+        let mut last_name = "";
         for ((name, label), count) in counters.iter() {
-            if last != *name {
+            if last_name != *name {
                 let _ = writeln!(text, "# TYPE citronrill_{name}_total counter");
-                last = name;
+                last_name = name;
             }
             let _ = match *label {
                 "" => writeln!(text, "citronrill_{name}_total {count}"),
--- a/crates/runtime/src/side/mod.rs
+++ b/crates/runtime/src/side/mod.rs
@@ -40,7 +40,7 @@
 /// Number of threads that call the platform and the engine.
 const PLATFORM_THREADS: usize = 6;
 const INPUT_QUEUE: usize = 16_384;
-/// Interval at which the own instance is looked up in the platform's list.
+/// Interval at which this process's instance is looked up in the platform's list.
 const LIST_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What a side process needs besides its settings.
@@ -159,8 +159,8 @@
     }
 }
 
-/// Looks up the own instance in the platform's list periodically, and drains the process when the
-/// instance is leaving.
+/// Looks up this process's instance in the platform's list periodically, and drains the process
+/// when the instance is leaving.
 fn watch_leaving(
     instances: Arc<dyn InstanceList>,
     own: &str,
--- a/src/commands/slopes.rs
+++ b/src/commands/slopes.rs
@@ -9,7 +9,7 @@
 
 /// Divisors of the planned deployment size, for smaller sizes.
 const DIVISORS: [usize; 4] = [16, 8, 4, 2];
-/// Adapter counts of sizes that differ in nothing else.
+/// Adapter counts of two smaller sizes that are otherwise identical.
 const ADAPTER_COUNTS: [usize; 2] = [100, 1_000];
 
 /// Sizes of the current deployments: Vienna and Litoral.
--- a/tests/pool/config_transfer.rs
+++ b/tests/pool/config_transfer.rs
@@ -32,16 +32,16 @@
     let engines = [("e1", &["m0"] as &[_]), ("e2", &["m0"]), ("e3", &["m0"])];
     let more = [("e4", &["m0"] as &[_]), ("e5", &["m0"]), ("e6", &["m0"])];
     let pool = Deployment::start(&[engines, more].concat());
-    let slow = pool.entry_behind_link(800_000);
-    wait_connected(&pool, &slow.process);
-    let received_before = slow.link.inbound_bytes();
+    let slow_entry = pool.entry_behind_link(800_000);
+    wait_connected(&pool, &slow_entry.process);
+    let received_before = slow_entry.link.inbound_bytes();
     let config = large_config(2, EXTRA_ROUTES);
     let size = config.len() as u64;
     pool.store.put("op", "config", Some(config));
-    wait_until("the configuration is in use", || has_config(&slow.process, 2));
+    wait_until("the configuration is in use", || has_config(&slow_entry.process, 2));
     // The configuration in the store's encoding, one copy from a side, and a tenth for other messages.
     let limit = size * STORE_SIZE_THIRDS / 3 + size + size / 10;
-    let received = slow.link.inbound_bytes() - received_before;
+    let received = slow_entry.link.inbound_bytes() - received_before;
     assert!(received <= limit, "{received} bytes received for a configuration of {size}");
 }
 
@@ -50,10 +50,10 @@
 #[test]
 fn a_slow_config_read_is_not_aborted() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
-    let slow = pool.entry_behind_link(150_000);
-    wait_connected(&pool, &slow.process);
+    let slow_entry = pool.entry_behind_link(150_000);
+    wait_connected(&pool, &slow_entry.process);
     pool.store.put("op", "config", Some(large_config(2, EXTRA_ROUTES)));
-    wait_until("the configuration is in use", || has_config(&slow.process, 2));
+    wait_until("the configuration is in use", || has_config(&slow_entry.process, 2));
 }
 
 /// One entry's connections to the store hang while a large configuration is written. The entry gets it
--- a/tests/pool/life.rs
+++ b/tests/pool/life.rs
@@ -27,8 +27,9 @@
     assert_eq!(pool.request(&Request::call("/added/x", "id-2")).status, 200);
 }
 
-/// Guards against every entry sending a new configuration to every side: such copies were a tenth of a
-/// day's costs. With four connected entries a side may receive two concurrent copies, but not four.
+/// Guards against every entry sending a new configuration to every side: these redundant copies
+/// made up a tenth of a day's costs. With four connected entries a side may receive two concurrent
+/// copies, but not four.
 #[test]
 fn a_side_receives_at_most_two_config_copies() {
     let pool = Deployment::start(&[("e1", &["m0"])]);
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -22,13 +22,14 @@
 const SIGSTOP: i32 = 19;
 /// Number of faults in a run.
 const FAULTS: usize = 24;
-/// Maximum duration of a fault, beyond the time after which a side counts as silent. The next fault starts
-/// after at most a third of it, so that two or three faults overlap.
+/// Maximum duration of a fault in milliseconds; it exceeds the time after which a side counts as
+/// silent. The next fault starts after at most a third of this duration, so that two or three
+/// faults overlap.
 const MAX_FAULT_MS: u64 = 1_500;
 const MAX_PAUSE_MS: u64 = 500;
 /// Bytes per second of an entry's slow link. A large configuration takes longer on it than a short fixed
 /// timeout of sides or of store reads would allow.
-const SLOW_LINK: u64 = 800_000;
+const SLOW_LINK_RATE: u64 = 800_000;
 /// Additional routes, for a configuration of 330 KB.
 const EXTRA_ROUTES: usize = 1_400;
 
@@ -92,7 +93,7 @@
 
 impl Harness {
     pub(crate) fn new(deployment: Deployment, entries: usize, rng: SmallRng) -> Harness {
-        let extra_entries = (1..entries).map(|_| deployment.entry_behind_link(SLOW_LINK));
+        let extra_entries = (1..entries).map(|_| deployment.entry_behind_link(SLOW_LINK_RATE));
         let extra_entries = extra_entries.collect::<Vec<_>>();
         let addresses = extra_entries.iter().map(|entry| entry.caller_address);
         let addresses = [deployment.caller_address].into_iter().chain(addresses);
