--- a/crates/config/src/pool.rs
+++ b/crates/config/src/pool.rs
@@ -8,7 +8,7 @@
     settings::Reader,
 };
 
-/// Time limit in milliseconds for learning all changes after an outage of the platform store, if the
+/// Timeout in milliseconds for learning all changes after an outage of the platform store, if the
 /// settings do not set it.
 const DEFAULT_RECOVER_MS: u64 = 3_000;
 
@@ -33,7 +33,7 @@
     pub seeds: Vec<SocketAddr>,
     /// The address of the platform store.
     pub store: SocketAddr,
-    /// Time limit for learning all changes after an outage of the platform store, in milliseconds.
+    /// Timeout for learning all changes after an outage of the platform store, in milliseconds.
     pub recover_ms: u64,
     /// The address of a side's endpoint.
     pub endpoint: Option<SocketAddr>,
@@ -45,7 +45,7 @@
     pub retry_slack: f64,
     /// The window over which retries are counted, in milliseconds.
     pub retry_window_ms: u64,
-    /// Time limit of a planned stop, in milliseconds.
+    /// Timeout of a planned stop, in milliseconds.
     pub stop_ms: u64,
 }
 
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -8,7 +8,7 @@
     ini::{Section, parse},
 };
 
-/// Time limit of a planned stop in seconds if the settings do not set it.
+/// Timeout of a planned stop in seconds if the settings do not set it.
 const DEFAULT_STOP_S: u64 = 30;
 const SETTING_KINDS: &str = "instance, platform, and entry, side or client; in a pool: process, \
                              listen, platform, endpoint and retry";
@@ -41,7 +41,7 @@
     pub listen: SocketAddr,
     /// The secret that the processes of the deployment share; never logged.
     pub secret: String,
-    /// Time limit of a planned stop, in seconds.
+    /// Timeout of a planned stop, in seconds.
     pub stop_s: u64,
     /// The platform's services.
     pub platform: PlatformSettings,
--- a/crates/pool/tests/all/config_transfer.rs
+++ b/crates/pool/tests/all/config_transfer.rs
@@ -346,7 +346,7 @@
 const MAX_EVENT_DELAY_MS: u64 = 120;
 
 /// A configuration of 0.8 MB reaches a deployment of 30 entries, 24 of them with slow links, and 55
-/// sides. Each side receives it once and within the time limit of a change, and no byte waits long
+/// sides. Each side receives it once and within the deadline of a change, and no byte waits long
 /// at an entry's link. Pushed without a request, 55 copies would occupy a slow link for 35 s.
 #[test]
 fn large_configuration_reaches_all_sides_once() {
--- a/crates/runtime/src/apply.rs
+++ b/crates/runtime/src/apply.rs
@@ -102,7 +102,7 @@
 /// Submits the configuration `config` as the version after `base`.
 ///
 /// The object is written first. Its name contains the digest of the configuration, so that neither
-/// a concurrent submission nor a repeated one can store other content under that name. One
+/// a concurrent apply nor a repeated one can store other content under that name. One
 /// transaction then replaces the head row and writes the delta, if the head row is still the one
 /// that was read.
 ///
--- a/crates/runtime/src/entry/mod.rs
+++ b/crates/runtime/src/entry/mod.rs
@@ -69,7 +69,7 @@
     /// A child in the feed tree requests the rows after a sequence number: the request's id, and
     /// that number.
     FeedPull(Arc<Link>, u64, u64),
-    /// The time limit of a planned stop has passed.
+    /// The timeout of a planned stop has passed.
     Stop,
 }
 
@@ -198,7 +198,7 @@
     }
 
     /// Begins a planned stop: new requests are refused, and open ones are finished or refused
-    /// before the time limit.
+    /// before the timeout.
     pub fn drain(&self) {
         let _ = self.input.send(Input::Event(Event::Drain));
         stop_later(&self.input, self.stop_after, Input::Stop);
--- a/crates/runtime/src/side/mod.rs
+++ b/crates/runtime/src/side/mod.rs
@@ -57,7 +57,7 @@
     Event(SideEvent),
     /// A peer requests the state dump.
     Dump(Arc<Link>),
-    /// The time limit of a planned stop has passed.
+    /// The timeout of a planned stop has passed.
     Stop,
 }
 
--- a/tests/all/failures.rs
+++ b/tests/all/failures.rs
@@ -122,7 +122,7 @@
     assert_eq!(deployment.engines[1 - holder].ready_models(), ["beta"]);
 }
 
-/// A planned stop of an entry answers pending requests and exits within its time limit.
+/// A planned stop of an entry answers pending requests and exits within its timeout.
 #[test]
 fn a_planned_stop_of_an_entry_answers_pending_requests() {
     let mut deployment = Deployment::start(2, 1);
